--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -20,7 +20,7 @@
 DESCRIPTORS_A_TASK = 2  # its client's connection and its worker's
 DESCRIPTORS = 20_000  # that the system of these runs grants a process
 VIRTUAL, PROCESSES, HOLLOW = "virtual", "processes", "hollow and whole over sockets"  # runs of changes
-WHOLE_PROCESSES = 9  # that `benchmarks.distribution_real --latency` starts
+WHOLE_PROCESSES = 9  # that `benchmarks.distribution.real --latency` starts
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -45,7 +45,7 @@
 
 
 class _Everywhere(msgspec.Struct, frozen=True):
-    """Seconds from agreed to in force everywhere, as `benchmarks.distribution_virtual` keeps them."""
+    """Seconds from agreed to in force everywhere, as `benchmarks.distribution.virtual` keeps them."""
 
     n: int
     worst: float | None
@@ -77,7 +77,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """One kind of fault, as `benchmarks.distribution_real --latency` and `distribution_hollow` keep it."""
+    """One kind of fault, as `benchmarks.distribution.real --latency` and `distribution_hollow` keep it."""
 
     scenario: str
     changes: int
--- a/benchmarks/check_configuration.py
+++ b/benchmarks/checks/configuration.py
@@ -1,6 +1,6 @@
 """Model checking of agreed configuration: bodies, deposits and pushes over the register's own stories.
 
-    python -m benchmarks.check_configuration [--states 30000] [--walks 20000] [--json]
+    python -m benchmarks.checks.configuration [--states 30000] [--walks 20000] [--json]
 
 The stories are those of `check_register`: three voters, up to three proposers, messages that come at any time or never,
 a crash between any two steps, one lost disk.  Here each proposer pushes a version, the last one rolls back; it deposits
@@ -23,8 +23,8 @@
 from typing import Any
 
 
-from benchmarks.check_command import FLAWED, Findings, run
-from benchmarks.check_register import VOTERS, Story, explore, walk
+from benchmarks.checks.command import FLAWED, Findings, run
+from benchmarks.checks.register import VOTERS, Story, explore, walk
 from thistleshore.configuration import agreement
 from thistleshore.distribution.model import digest_of
 from thistleshore.releases.messages import Deposit
--- a/benchmarks/check_exchange.py
+++ b/benchmarks/checks/exchange.py
@@ -1,6 +1,6 @@
 """Model checking of the exchange between instances: allotments never sum to more than the whole.
 
-    python -m benchmarks.check_exchange [--instances 2] [--states 20000] [--json]
+    python -m benchmarks.checks.exchange [--instances 2] [--states 20000] [--json]
 
 Two parts.  **z3** proves, over all real numbers, that a receiver's lease never outlasts its owner's, whatever the
 clocks' rates within the drift and whatever the delays, and that parts sum to no more than 1 where each is used only
--- a/benchmarks/check_fleet.py
+++ b/benchmarks/checks/fleet.py
@@ -1,6 +1,6 @@
 """Model checking of suspicion, refutation and return with three members: explicit states of the real machine.
 
-    python -m benchmarks.check_fleet [--states 20000] [--walks 3000] [--json]
+    python -m benchmarks.checks.fleet [--states 20000] [--walks 3000] [--json]
 
 The network holds every record that was ever told, and delivers any of them to anybody at any time: lost, late, again
 and out of order.  Any member may suspect any other, hold it for dead once it does, or start a new life.  In every
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from benchmarks.check_command import FLAWED, Findings, run
+from benchmarks.checks.command import FLAWED, Findings, run
 from thistleshore.fleet import Fleet, Record, Service, State, Terms
 from thistleshore.fleet.model import Seen
 
--- a/benchmarks/check_register.py
+++ b/benchmarks/checks/register.py
@@ -1,6 +1,6 @@
 """Model checking of the register: three voters, two proposers, crashes with and without lost disks, late messages.
 
-    python -m benchmarks.check_register [--states 30000] [--walks 3000] [--json]
+    python -m benchmarks.checks.register [--states 30000] [--walks 3000] [--json]
 
 The real acceptors and rounds are driven through every interleaving as far as the number of states allows, and by
 random stories beyond it.  Each message is delivered at any time, or never; a voter may crash between any two steps, and
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from benchmarks.check_command import FLAWED, Findings, run
+from benchmarks.checks.command import FLAWED, Findings, run
 from thistleshore.releases import places
 from thistleshore.releases.model import Limits, Refusal, Standing, Value
 from thistleshore.releases.register import Accept, Acceptor, Held, Prepare, Round
--- a/benchmarks/contracts.py
+++ b/benchmarks/contracts/surge.py
@@ -1,6 +1,6 @@
 """One member surges to three times its share: what is every other member's service, next to a quiet run?
 
-    python -m benchmarks.contracts [--front http|beanstalkd] [--instances 2] [--seeds 10] [--json]
+    python -m benchmarks.contracts.surge [--front http|beanstalkd] [--instances 2] [--seeds 10] [--json]
 
 A discrete-event simulation in virtual time, from seeds: the real decision module, ledger and exchange, hosts with slots
 and queues, clients that ask again, and datagrams that come late or never.  Each seed is played quiet and with the
--- a/benchmarks/contracts_real.py
+++ b/benchmarks/contracts/surge_real.py
@@ -1,6 +1,6 @@
-"""The surge of `benchmarks.contracts` over real sockets and real time: one dispatcher, stand-in workers, HTTP.
+"""The surge of `benchmarks.contracts.surge` over real sockets and real time: one dispatcher, stand-in workers, HTTP.
 
-    python -m benchmarks.contracts_real [--seconds 10] [--seed 1] [--json]
+    python -m benchmarks.contracts.surge_real [--seconds 10] [--seed 1] [--json]
 
 Twelve workers of four slots each on loopback, clients of nine members with a connection for each request; a quiet run
 and one in which the first member sends three times its share, with shares kept and without.  Some 40 jobs a second at
@@ -19,7 +19,7 @@
 import numpy as np
 import trio
 
-from benchmarks.contracts import CLASSES, HOSTS, LOAD, MEMBERS, MIX, RUNS, SLOTS, SURGE
+from benchmarks.contracts.surge import CLASSES, HOSTS, LOAD, MEMBERS, MIX, RUNS, SLOTS, SURGE
 from tests.support import Lines, free_port
 from thistleshore import config
 from thistleshore.dispatcher import serve
--- /dev/null
+++ b/benchmarks/distribution/__init__.py
@@ -0,0 +1,1 @@
+"""How agreed configuration spreads: virtual fleets, hollow and whole processes, baselines, kept results."""
--- a/benchmarks/distribution_baselines.py
+++ b/benchmarks/distribution/baselines.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.distribution_fleet import Fleet
+from benchmarks.distribution.fleet import Fleet
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import NO_VERSION, Action, Apply, Peer, Send, Stamp, Terms
 
--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution/cost.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from benchmarks.distribution_bodies import Body
-from benchmarks.distribution_fleet import Fleet, Traffic
-from benchmarks.distribution_plan import CHANGES, DAY
+from benchmarks.distribution.bodies import Body
+from benchmarks.distribution.fleet import Fleet, Traffic
+from benchmarks.distribution.plan import CHANGES, DAY
 from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import Action, Peer, Stamp
--- a/benchmarks/distribution_day.py
+++ b/benchmarks/distribution/day.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from benchmarks.distribution_fleet import Fleet, Traffic
-from benchmarks.distribution_history import faults
-from benchmarks.distribution_plan import Apart, Day, Outage, draw
-from benchmarks.distribution_scenarios import AFTER_HEAL, Session, Way
-from benchmarks.distribution_times import BOUND, Miss, Quantiles
+from benchmarks.distribution.fleet import Fleet, Traffic
+from benchmarks.distribution.history import faults
+from benchmarks.distribution.plan import Apart, Day, Outage, draw
+from benchmarks.distribution.scenarios import AFTER_HEAL, Session, Way
+from benchmarks.distribution.times import BOUND, Miss, Quantiles
 
 PUSH_AGAIN = 1.0  # s after which an operator who found no majority pushes again
 SETTLE = 60.0  # s after the end of the day
--- a/benchmarks/distribution_deaths.py
+++ b/benchmarks/distribution/deaths.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-from benchmarks.distribution_fleet import Fleet
+from benchmarks.distribution.fleet import Fleet
 from thistleshore.distribution import wire
 from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
--- a/benchmarks/distribution_fleet.py
+++ b/benchmarks/distribution/fleet.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from benchmarks.distribution_net import Node, World, zones_of
-from benchmarks.distribution_times import InForceTimes
+from benchmarks.distribution.net import Node, World, zones_of
+from benchmarks.distribution.times import InForceTimes
 from thistleshore.distribution.machine import Distributor
 from thistleshore.distribution.model import Apply
 
--- a/benchmarks/distribution_hollow.py
+++ b/benchmarks/distribution/hollow.py
@@ -1,6 +1,6 @@
 """Configuration put in force at many hollow dispatchers over loopback sockets, with whole ones among them.
 
-    python -m benchmarks.distribution_hollow [--hollow 200] [--whole 9] [--changes 20] [--scenarios NAME ..]
+    python -m benchmarks.distribution.hollow [--hollow 200] [--whole 9] [--changes 20] [--scenarios NAME ..]
     ... --save benchmarks/results/distribution.json       # puts the result under "hollow", by the size
 
 All hollow dispatchers of a zone share one process, so that a zone can be killed; the voters are whole.  Each change is
@@ -33,8 +33,8 @@
 from benchmarks.capacity.fleets import agree, begin
 from benchmarks.capacity.processes import HollowGroup, Measured, WholeDispatcher, Window, ending, watch
 from benchmarks.capacity.slopes import KB_A_MB, all_follow, wait_until
-from benchmarks.distribution_results import keep
-from benchmarks.fleet_virtual import spread
+from benchmarks.distribution.results import keep
+from benchmarks.fleet.virtual import spread
 from thistleshore.distribution.model import digest_of
 from thistleshore.rig.hollow import Part
 
--- a/benchmarks/distribution_net.py
+++ b/benchmarks/distribution/net.py
@@ -14,7 +14,7 @@
 from itertools import count
 from math import inf
 
-from benchmarks.distribution_history import Agreed, Counted, History, InForce, Reported
+from benchmarks.distribution.history import Agreed, Counted, History, InForce, Reported
 from thistleshore.distribution import wire
 from thistleshore.distribution.machine import Distributor
 from thistleshore.distribution.model import (
--- a/benchmarks/distribution_real.py
+++ b/benchmarks/distribution/real.py
@@ -1,8 +1,8 @@
 """Configuration agreed by a register and put in force at whole processes, under drawn faults and against the clock.
 
-    python -m benchmarks.distribution_real --runs 60 [--first 0] [--beside 3] [--keep FOLDER]   # drawn runs
-    python -m benchmarks.distribution_real --latency quiet loss zone steps burst [--changes 30] # at 9 processes
-    python -m benchmarks.distribution_real --cost                                               # at 9 processes
+    python -m benchmarks.distribution.real --runs 60 [--first 0] [--beside 3] [--keep FOLDER]   # drawn runs
+    python -m benchmarks.distribution.real --latency quiet loss zone steps burst [--changes 30] # at 9 processes
+    python -m benchmarks.distribution.real --cost                                               # at 9 processes
     ... --save benchmarks/results/distribution.json       # puts the result under its key "processes"
 
 A drawn run has 5 to 9 processes in 3 or 4 zones, 3 or 5 voters and load.  For 12 s operators push and roll back at
@@ -33,9 +33,9 @@
 import msgspec
 import trio
 
-from benchmarks.distribution_results import keep
-from benchmarks.fleet_real import beside
-from benchmarks.fleet_virtual import spread
+from benchmarks.distribution.results import keep
+from benchmarks.fleet.real import beside
+from benchmarks.fleet.virtual import spread
 from thistleshore.distribution.model import Terms
 from thistleshore.fleet.model import Terms as FleetTerms
 from thistleshore.releases.faults import CONFIGURATION_POINTS
@@ -44,8 +44,8 @@
 from thistleshore.rig.rig import STARTED, Rig, open_rig
 from thistleshore.rig.world import Fault, World, convert, read
 
-MODULE = "benchmarks.distribution_real"
-WORLD_FILE = Path(__file__).parent.parent / "thistleshore" / "rig" / "worlds" / "configuration.toml"
+MODULE = "benchmarks.distribution.real"
+WORLD_FILE = Path(__file__).parent.parent.parent / "thistleshore" / "rig" / "worlds" / "configuration.toml"
 EVERYWHERE_WITHIN = 18.0  # s from agreed to in force everywhere, which is asked
 SECONDS = 12.0  # of faults and changes in a drawn run
 LAYOUTS = (
--- a/benchmarks/distribution_scenarios.py
+++ b/benchmarks/distribution/scenarios.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from benchmarks.distribution_baselines import Asker, FileOnly, HandTerms, Operator
-from benchmarks.distribution_bodies import Body
-from benchmarks.distribution_deaths import RELAY_STEPS, VOTER_STEPS, Deaths, Step, mortal_fleet
-from benchmarks.distribution_fleet import Fleet, Traffic, traffic_of_runs
-from benchmarks.distribution_history import faults
-from benchmarks.distribution_times import BOUND, InForceTimes, Quantiles, Sample
+from benchmarks.distribution.baselines import Asker, FileOnly, HandTerms, Operator
+from benchmarks.distribution.bodies import Body
+from benchmarks.distribution.deaths import RELAY_STEPS, VOTER_STEPS, Deaths, Step, mortal_fleet
+from benchmarks.distribution.fleet import Fleet, Traffic, traffic_of_runs
+from benchmarks.distribution.history import faults
+from benchmarks.distribution.times import BOUND, InForceTimes, Quantiles, Sample
 from thistleshore.distribution.machine import Distributor
 from thistleshore.distribution.model import Peer
 from thistleshore.distribution.tree import Tree
--- a/benchmarks/distribution_stories.py
+++ b/benchmarks/distribution/stories.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from benchmarks.distribution_bodies import Body
-from benchmarks.distribution_day import behind
-from benchmarks.distribution_fleet import Fleet, Kind
-from benchmarks.distribution_history import faults
-from benchmarks.distribution_net import PUTTING, WRITING, Node
-from benchmarks.distribution_times import BOUND
+from benchmarks.distribution.bodies import Body
+from benchmarks.distribution.day import behind
+from benchmarks.distribution.fleet import Fleet, Kind
+from benchmarks.distribution.history import faults
+from benchmarks.distribution.net import PUTTING, WRITING, Node
+from benchmarks.distribution.times import BOUND
 from tests.test_distribution import BelievesOld, ReportsEarly
 from thistleshore.distribution.machine import Distributor
 from thistleshore.distribution.model import Apply
--- a/benchmarks/distribution_virtual.py
+++ b/benchmarks/distribution/virtual.py
@@ -1,10 +1,10 @@
 """Agreed configuration in virtual time, from seeds: how soon it is in force everywhere, and what that costs.
 
-    python -m benchmarks.distribution_virtual [--nodes 9 60 200] [--seeds 5] [--json] [--keep FILE]
-    python -m benchmarks.distribution_virtual --deaths [--nodes 60]         # between any two steps
-    python -m benchmarks.distribution_virtual --day [--nodes 60] [--seed 1] [--share 1.0] [--profile]
-    python -m benchmarks.distribution_virtual --stories 200                 # drawn stories, sound and flawed forms
-    python -m benchmarks.distribution_virtual --cost [--nodes 9 60 200]     # CPU and bytes by role, memory of the state
+    python -m benchmarks.distribution.virtual [--nodes 9 60 200] [--seeds 5] [--json] [--keep FILE]
+    python -m benchmarks.distribution.virtual --deaths [--nodes 60]         # between any two steps
+    python -m benchmarks.distribution.virtual --day [--nodes 60] [--seed 1] [--share 1.0] [--profile]
+    python -m benchmarks.distribution.virtual --stories 200                 # drawn stories, sound and flawed forms
+    python -m benchmarks.distribution.virtual --cost [--nodes 9 60 200]     # CPU and bytes by role, memory of the state
 
 Scenarios are played by the tree and by two baselines (`--ways`).  `--keep` puts the results into a JSON file under
 "virtual", beside what is there.  Ends with 1 where the checker found a fault in the sound form, or a change was not in
@@ -25,11 +25,11 @@
 
 import msgspec
 
-from benchmarks.distribution_cost import CostReport, measure_cost
-from benchmarks.distribution_day import DayReport, play_day
-from benchmarks.distribution_scenarios import SCENARIOS, DeathRow, Measured, Way, deaths_at_steps, over_seeds
-from benchmarks.distribution_stories import FORMS, SOUND, FormReport, stories
-from benchmarks.distribution_times import BOUND
+from benchmarks.distribution.cost import CostReport, measure_cost
+from benchmarks.distribution.day import DayReport, play_day
+from benchmarks.distribution.scenarios import SCENARIOS, DeathRow, Measured, Way, deaths_at_steps, over_seeds
+from benchmarks.distribution.stories import FORMS, SOUND, FormReport, stories
+from benchmarks.distribution.times import BOUND
 
 PROFILE_LINES = 25
 WAYS = {way.name.lower().replace("_", "-"): way for way in Way}
--- a/benchmarks/differential.py
+++ b/benchmarks/expressions/differential.py
@@ -1,6 +1,6 @@
 """The compiled form of expressions against the tree-walker, which is the reference.
 
-    python -m benchmarks.differential [--cases 20000] [--seed 1] [--json]
+    python -m benchmarks.expressions.differential [--cases 20000] [--seed 1] [--json]
 
 Grown expressions that are accepted are evaluated by both, for a request grown from the same bytes; each must give the
 same value, and the walker's count of units must keep to the checker's bound.
@@ -17,7 +17,7 @@
 from collections import Counter
 from typing import Any
 
-from benchmarks.grow import SETS, Grow
+from benchmarks.expressions.grow import SETS, Grow
 from thistleshore.expressions import ExpressionError, Limits, Request, Source, request_environment
 from thistleshore.expressions.check import Checker
 from thistleshore.expressions.compiler import CheckedRule, compile_rules
--- a/benchmarks/fuzz_expressions.py
+++ b/benchmarks/expressions/fuzz.py
@@ -1,6 +1,6 @@
 """Coverage-guided fuzzing of the expression language by atheris (the extra `fuzz`).
 
-    python -m benchmarks.fuzz_expressions [--seconds 600] [--seed 1] [--json FILE]
+    python -m benchmarks.expressions.fuzz [--seconds 600] [--seed 1] [--json FILE]
 
 Holds for every text: it is refused by an ExpressionError, or it is accepted and then, for every request: no exception,
 no cost over its bound, and the compiled form gives what the tree-walker gives.
@@ -19,7 +19,7 @@
 import atheris
 
 with atheris.instrument_imports(include=["thistleshore.expressions"]):
-    from benchmarks.grow import SETS, Grow
+    from benchmarks.expressions.grow import SETS, Grow
     from thistleshore.expressions.check import Checker
     from thistleshore.expressions.compiler import CheckedRule, compile_rules
     from thistleshore.expressions.diagnostics import ExpressionError, Source
--- a/benchmarks/sample_requests.py
+++ b/benchmarks/expressions/sample_requests.py
@@ -1,6 +1,6 @@
 """The sample of requests that is kept beside deploy/expressions.toml, made anew from its seed.
 
-    python -m benchmarks.sample_requests > deploy/expressions.requests.jsonl
+    python -m benchmarks.expressions.sample_requests > deploy/expressions.requests.jsonl
 
 Members come by their shares of the consortium's traffic; both classes, hosts, counters, apps, partners, bulk searches,
 back offices' tubes, and some that fit no rule.
--- a/benchmarks/fleet_real.py
+++ b/benchmarks/fleet/real.py
@@ -1,8 +1,8 @@
 """The view of the fleet with real processes and relays between them: how long it takes to settle, who is wrongly dead.
 
-    python -m benchmarks.fleet_real [--members 3 8 16] [--seeds 20] [--json]
-    python -m benchmarks.fleet_real --loss 0.0 0.1 0.3 --minutes 2        # deaths of live members, and with one slowed
-    python -m benchmarks.fleet_real --worlds 300 --beside 4 [--first 0]   # drawn worlds of compound faults
+    python -m benchmarks.fleet.real [--members 3 8 16] [--seeds 20] [--json]
+    python -m benchmarks.fleet.real --loss 0.0 0.1 0.3 --minutes 2        # deaths of live members, and with one slowed
+    python -m benchmarks.fleet.real --worlds 300 --beside 4 [--first 0]   # drawn worlds of compound faults
 
 A seed picks who is killed, stopped and cut off.  Several rigs run beside one another (`--beside`); the machine's load
 is told.  Times in seconds, as the rig saw them: it looks every 0.15 s.
@@ -23,13 +23,13 @@
 import msgspec
 import trio
 
-from benchmarks.fleet_virtual import spread
+from benchmarks.fleet.virtual import spread
 from thistleshore.rig.rig import STARTED, Rig, open_rig
 from thistleshore.rig.run import play
 from thistleshore.rig.truth import of
 from thistleshore.rig.world import Fault, World, convert, read
 
-WORLDS = Path(__file__).parent.parent / "thistleshore" / "rig" / "worlds"
+WORLDS = Path(__file__).parent.parent.parent / "thistleshore" / "rig" / "worlds"
 ROUNDS = 5  # seeds that one rig plays, one after another
 
 
@@ -98,7 +98,7 @@
 JOBS: dict[str, Callable[..., Awaitable[Any]]] = {"settling": settling, "deaths": deaths, "drawn": drawn}
 
 
-async def beside(jobs: list[tuple[Any, ...]], most: int, module: str = "benchmarks.fleet_real") -> list[Any]:
+async def beside(jobs: list[tuple[Any, ...]], most: int, module: str = "benchmarks.fleet.real") -> list[Any]:
     """What each job came to, in order; so many at a time, each in a process of its own: one that carried the
     datagrams of several rigs would be late."""
     limit, found = trio.CapacityLimiter(most), dict[int, Any]()
--- a/benchmarks/fleet_virtual.py
+++ b/benchmarks/fleet/virtual.py
@@ -1,7 +1,7 @@
 """The view of the fleet in virtual time, from seeds: how long it takes to settle, who is wrongly dead, what it costs.
 
-    python -m benchmarks.fleet_virtual [--members 3 40 400] [--seeds 20] [--kind fleet|beats] [--json]
-    python -m benchmarks.fleet_virtual --worlds 300 [--json]       # drawn worlds of compound faults, 5 to 8 members
+    python -m benchmarks.fleet.virtual [--members 3 40 400] [--seeds 20] [--kind fleet|beats] [--json]
+    python -m benchmarks.fleet.virtual --worlds 300 [--json]       # drawn worlds of compound faults, 5 to 8 members
 
 A drawn world also tells how much of the time a member's view is wrong (it holds another set for living than those that
 live and are reached both ways), beside the fixed list, which holds all for living always.
@@ -19,8 +19,8 @@
 import time
 from typing import Any
 
-from benchmarks.fleet_beats import Beats
-from benchmarks.fleet_net import Net, halves
+from benchmarks.fleet.heartbeats import Beats
+from benchmarks.fleet.net import Net, halves
 from thistleshore.fleet import Fleet, Terms
 
 KINDS: dict[str, Any] = {"fleet": Fleet, "beats": Beats}
--- /dev/null
+++ b/benchmarks/load/__init__.py
@@ -0,0 +1,1 @@
+"""The load generator checked against stand-ins of known latency."""
--- a/benchmarks/known_latency.py
+++ b/benchmarks/load/known_latency.py
@@ -1,4 +1,6 @@
-"""A stand-in of known latency, for `benchmarks.load_truth`: `python -m benchmarks.known_latency PORT SPEC-AS-JSON`.
+"""A stand-in of known latency, for `benchmarks.load.truth`.
+
+Run: `python -m benchmarks.load.known_latency PORT SPEC-AS-JSON`.
 
 `{"fixed": [0.05], "stall": 2.0, "every": 10.0, "begin": T}`: each request is answered so long after its last byte came,
 by turns of the list; what would be answered in a stall, of which one begins at T and every so many seconds after, is
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load/truth.py
@@ -1,6 +1,6 @@
 """Does the load generator tell the truth?  Against stand-ins of known latency, its percentiles next to the schedule's.
 
-    python -m benchmarks.load_truth [--seconds 21] [--rate 50] [--json]
+    python -m benchmarks.load.truth [--seconds 21] [--rate 50] [--json]
 
 A fixed latency, two by turns, and a fixed one with stalls of 2 s every 10 s.  The truth is computed from the schedule:
 for each request the time from when it was meant to be sent to when the stand-in answers.  Beside it stands what a
@@ -19,7 +19,7 @@
 
 import trio
 
-from benchmarks.known_latency import due
+from benchmarks.load.known_latency import due
 from tests.support import free_port
 from thistleshore.load.plan import arrivals, convert
 from thistleshore.load.result import PERCENTILES, histogram, percentiles, record
@@ -37,7 +37,7 @@
 def measure(spec: dict[str, Any], seconds: float, rate: float) -> dict[str, Any]:
     port, begin = free_port(), time.monotonic() + 5.0
     spec = {**spec, "begin": begin}
-    process = subprocess.Popen([sys.executable, "-m", "benchmarks.known_latency", str(port), json.dumps(spec)])
+    process = subprocess.Popen([sys.executable, "-m", "benchmarks.load.known_latency", str(port), json.dumps(spec)])
     try:
         plan = convert({"target": f"127.0.0.1:{port}", "seconds": seconds, "source": [{"class": "x", "rate": rate}]})
         return trio.run(play, plan, spec, port, seconds)
--- /dev/null
+++ b/benchmarks/platform/__init__.py
@@ -0,0 +1,1 @@
+"""What the platform's dispatcher costs: CPU and memory a request, and by the size of the fleet."""
--- a/benchmarks/platform_cost.py
+++ b/benchmarks/platform/cost.py
@@ -1,6 +1,6 @@
 """What the platform's dispatcher costs: CPU a request and memory, of this tree and of an earlier one, in turns.
 
-    python -m benchmarks.platform_cost --base REVISION [--requests 4000] [--rounds 5] [--json]
+    python -m benchmarks.platform.cost --base REVISION [--requests 4000] [--rounds 5] [--json]
 
 Each turn starts `python -O -m thistleshore` by PROXY_CONFIG on loopback, sends requests by eight kept connections to
 stand-in workers that answer at once, and reads /proc for what the process used from its first request on.
@@ -26,7 +26,7 @@
 
 from tests.support import Lines, free_port
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CLIENTS = 8
 TICKS = os.sysconf("SC_CLK_TCK")
 READY_WITHIN = 10.0  # s
--- a/benchmarks/size.py
+++ b/benchmarks/platform/size.py
@@ -1,6 +1,6 @@
 """What a fleet's size costs: the platform's program with that many peers and hosts, and the module's decisions alone.
 
-    python -m benchmarks.size [--sizes 10,200,1024] [--json]
+    python -m benchmarks.platform.size [--sizes 10,200,1024] [--json]
 
 The program: `python -O -m thistleshore` by PROXY_CONFIG, with its agent, on loopback: seconds to ready, memory, open
 descriptors, after ten seconds of lists whose weights change twice a second.  The module: microseconds of CPU a job of
@@ -24,7 +24,7 @@
 
 import trio
 
-from benchmarks.platform_cost import ROOT, SETTINGS, cpu, resident
+from benchmarks.platform.cost import ROOT, SETTINGS, cpu, resident
 from oxbowarch.brain import Brain
 from oxbowarch.interface import (
     Effect, Entry, Group, JobClass, ListKind, Note, Outcome, Report, Request, Send, Settings, State, Status,
--- /dev/null
+++ b/benchmarks/releases/__init__.py
@@ -0,0 +1,1 @@
+"""Releases by real processes under load and faults, and the release gate over drawn waves."""
--- a/benchmarks/gate_draws.py
+++ b/benchmarks/releases/gate_draws.py
@@ -1,6 +1,6 @@
 """The gate of releases over drawn waves: how often a clean version is called worse, and a worse one found, and when.
 
-    python -m benchmarks.gate_draws [--draws 10000] [--seed 1] [--json]
+    python -m benchmarks.releases.gate_draws [--draws 10000] [--seed 1] [--json]
 
 Each draw is one wave of 30 s: one of nine dispatchers has the new version, at `rate` tries a second in all, in three
 classes.  In `surge` all tries grow 2.4-fold for 8 s and both groups serve worse meanwhile; in `herd` service of both
--- a/benchmarks/releases_real.py
+++ b/benchmarks/releases/real.py
@@ -1,9 +1,9 @@
 """Releases and drains by real processes with keepers, under load and faults, by ground truth.
 
-    python -m benchmarks.releases_real --drawn 100 [--first 0] [--way agreed|none|lease] [--beside 3] [--json]
-    python -m benchmarks.releases_real --gate 20 [--version refusing] [--json]   # a regression; `clean`: in a surge
-    python -m benchmarks.releases_real --nine 1 [--json]                          # 9 dispatchers, and one killed midway
-    python -m benchmarks.releases_real --register 3 5 7 [--json]                  # changes a second, loss, recovery
+    python -m benchmarks.releases.real --drawn 100 [--first 0] [--way agreed|none|lease] [--beside 3] [--json]
+    python -m benchmarks.releases.real --gate 20 [--version refusing] [--json]   # a regression; `clean`: in a surge
+    python -m benchmarks.releases.real --nine 1 [--json]                          # 9 dispatchers, and one killed midway
+    python -m benchmarks.releases.real --register 3 5 7 [--json]                  # changes a second, loss, recovery
 
 A drawn run has faults (crashes of dispatchers and keepers, stops, cuts, delays) and operators' acts (drains, a release,
 halt, undo) in 15 s; then the faults end, and whatever the release came to is undone.  `none` has operators' scripts end
@@ -26,8 +26,8 @@
 
 import trio
 
-from benchmarks.fleet_real import beside
-from benchmarks.fleet_virtual import spread
+from benchmarks.fleet.real import beside
+from benchmarks.fleet.virtual import spread
 from thistleshore.rig import checks
 from thistleshore.rig.processes import Kept
 from thistleshore.rig.rig import STARTED, Rig, open_rig
@@ -356,7 +356,7 @@
 
 
 JOBS = {"drawn": drawn, "gated": gated, "nine": nine, "register": register}
-MODULE = "benchmarks.releases_real"
+MODULE = "benchmarks.releases.real"
 
 
 def main() -> int:
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -13,8 +13,8 @@
 import trio
 from hypothesis import given, strategies as st
 
-from benchmarks import check_configuration as checker
-from benchmarks.check_register import explore, walk
+from benchmarks.checks import configuration as checker
+from benchmarks.checks.register import explore, walk
 from tests.support import steady
 from tests.tier import NAMES, Tier, on_tier
 from thistleshore.configuration import agreement, store
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from benchmarks import check_exchange
-from benchmarks.contracts import Plan, World as Simulated, pair, service
+from benchmarks.checks import exchange as check_exchange
+from benchmarks.contracts.surge import Plan, World as Simulated, pair, service
 from oxbowarch.brain import Brain
 from oxbowarch.interface import Effect, Entry, Fail, JobClass, ListKind, Outcome, Refuse, Report, Reports, Request, Send
 from oxbowarch.interface import Settings, State, Status, Timer
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -12,8 +12,8 @@
 import zstandard
 from hypothesis import given, settings, strategies as st
 
-from benchmarks.distribution_history import Agreed, Counted, History, InForce, Reported, faults
-from benchmarks.distribution_net import FLEET, REGISTER, World, zones_of
+from benchmarks.distribution.history import Agreed, Counted, History, InForce, Reported, faults
+from benchmarks.distribution.net import FLEET, REGISTER, World, zones_of
 from tests.support import GARBAGE, steady
 from thistleshore.distribution import wire
 from thistleshore.distribution.bodies import Bodies, Mismatch, decode, encode
--- a/tests/test_distribution_hollow.py
+++ b/tests/test_distribution_hollow.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from benchmarks.distribution_hollow import play
+from benchmarks.distribution.hollow import play
 
 
 async def changes_are_in_force_everywhere_whatever_is_lost_or_dies(tmp_path: Path) -> None:
--- a/tests/test_distribution_virtual.py
+++ b/tests/test_distribution_virtual.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from benchmarks.distribution_bodies import EDITS_MOST, Body
-from benchmarks.distribution_day import play_day
-from benchmarks.distribution_fleet import Fleet
-from benchmarks.distribution_plan import CHANGES, CRASHES, RESTARTS, draw
-from benchmarks.distribution_scenarios import SCENARIOS, Way, deaths_at_steps, over_seeds
-from benchmarks.distribution_stories import FORMS, SOUND, stories, story
-from benchmarks.distribution_times import BOUND, InForceTimes
-from benchmarks.distribution_virtual import Outcome, keep
+from benchmarks.distribution.bodies import EDITS_MOST, Body
+from benchmarks.distribution.day import play_day
+from benchmarks.distribution.fleet import Fleet
+from benchmarks.distribution.plan import CHANGES, CRASHES, RESTARTS, draw
+from benchmarks.distribution.scenarios import SCENARIOS, Way, deaths_at_steps, over_seeds
+from benchmarks.distribution.stories import FORMS, SOUND, stories, story
+from benchmarks.distribution.times import BOUND, InForceTimes
+from benchmarks.distribution.virtual import Outcome, keep
 
 SMALL = 9  # instances
 
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -9,9 +9,9 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from benchmarks import differential
-from benchmarks.differential import compiled, same
-from benchmarks.grow import SETS, Grow
+from benchmarks.expressions import differential
+from benchmarks.expressions.differential import compiled, same
+from benchmarks.expressions.grow import SETS, Grow
 from tests.support import steady
 from thistleshore.expressions import ExpressionError, Kind, Limits, Request, RequestError, Rule, RuleErrors, RuleSet
 from thistleshore.expressions import NetworkError, Source, address_set, request_environment, routed_environment
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -14,7 +14,7 @@
 import trio
 from hypothesis import given, strategies as st
 
-from benchmarks import check_register
+from benchmarks.checks import register as check_register
 from tests.support import ROOT, play, refused, steady
 from thistleshore import config
 from thistleshore.releases import places
--- a/tests/test_rig_configuration.py
+++ b/tests/test_rig_configuration.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 
-from benchmarks.distribution_real import drawn_world, play_drawn, sound
+from benchmarks.distribution.real import drawn_world, play_drawn, sound
 from thistleshore.distribution.model import Peer, Row as ReportRow, Terms
 from thistleshore.distribution.reports import Heard, Reports
 from thistleshore.rig import checks
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -12,8 +12,8 @@
 from hypothesis import given, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from benchmarks import check_fleet
-from benchmarks.fleet_net import Net, halves
+from benchmarks.checks import fleet as check_fleet
+from benchmarks.fleet.net import Net, halves
 from tests.standins import Platform
 from tests.support import GARBAGE, ROOT, play, refused, steady
 from thistleshore import config
