--- a/benchmarks/checks/register.py
+++ b/benchmarks/checks/register.py
@@ -159,11 +159,28 @@
         return made
 
     def shape(self) -> Any:
-        held = tuple(None if a is None else (a.held.promised, a.held.accepted, a.held.value and a.held.value.number,
-                                             a.held.value and a.held.value.places, a.held.value and a.held.value.voters)
-                     for a in self.acceptors.values())  # fmt: skip
-        rounds = tuple((tuple(sorted(r._promises)), tuple(sorted(r._accepted)), r._value and r._value.number,
-                        r._value and r._value.places, r.outcome and r.outcome.what) for r in self.rounds)  # fmt: skip
+        held = tuple(
+            None
+            if a is None
+            else (
+                a.held.promised,
+                a.held.accepted,
+                a.held.value and a.held.value.number,
+                a.held.value and a.held.value.places,
+                a.held.value and a.held.value.voters,
+            )
+            for a in self.acceptors.values()
+        )
+        rounds = tuple(
+            (
+                tuple(sorted(r._promises)),
+                tuple(sorted(r._accepted)),
+                r._value and r._value.number,
+                r._value and r._value.places,
+                r.outcome and r.outcome.what,
+            )
+            for r in self.rounds
+        )
         waiting = tuple(sorted((n, v, type(m).__name__) for n, v, m in self.waiting))
         synced = tuple(h.promised for h in self.synced.values())
         return held, rounds, waiting, tuple(self.floors), self.crashes, self.lost, synced
@@ -196,8 +213,9 @@
         story, path = kind(flaw), list[str]()
         for _ in range(length):
             found = [(told, act) for told, act in story.steps() if "lost" not in told or at.random() < 0.15]
-            found = [(told, act) for told, act in found if "crashes" not in told and "disk" not in told
-                     or at.random() < 0.1]  # fmt: skip
+            found = [
+                (told, act) for told, act in found if "crashes" not in told and "disk" not in told or at.random() < 0.1
+            ]
             if not found:
                 break
             told, act = at.choice(found)
--- a/benchmarks/fleet/virtual.py
+++ b/benchmarks/fleet/virtual.py
@@ -32,8 +32,12 @@
     rows = sorted(value for value in found if value is not None)
     if not rows:
         return {"failed": len(found)}
-    return {"p50": round(rows[len(rows) // 2], 3), "p99": round(rows[min(len(rows) - 1, len(rows) * 99 // 100)], 3),
-            "worst": round(rows[-1], 3), "failed": len(found) - len(rows)}  # fmt: skip
+    return {
+        "p50": round(rows[len(rows) // 2], 3),
+        "p99": round(rows[min(len(rows) - 1, len(rows) * 99 // 100)], 3),
+        "worst": round(rows[-1], 3),
+        "failed": len(found) - len(rows),
+    }
 
 
 def made(count: int, terms: Terms, seed: int, kind: Any, loss: float = 0.0) -> Net:
@@ -75,8 +79,9 @@
     return found
 
 
-def false_deaths(count: int, terms: Terms, seed: int, kind: Any, loss: float, slow: float = 0.0,
-                 seconds: float = 600.0) -> float:  # fmt: skip
+def false_deaths(
+    count: int, terms: Terms, seed: int, kind: Any, loss: float, slow: float = 0.0, seconds: float = 600.0
+) -> float:
     """Events an hour in which a member that lives is declared dead by somebody."""
     net = made(count, terms, seed, kind, loss)
     net.nodes["n0"].slow = slow
@@ -92,9 +97,11 @@
     begun, cpu = net.counts.copy(), time.process_time()
     net.run(net.now + seconds)
     each = seconds * count
-    return {"bytes_a_second": round((net.counts["bytes"] - begun["bytes"]) / each, 1),
-            "datagrams_a_second": round((net.counts["sent"] - begun["sent"]) / each, 2),
-            "cpu_ms_a_second": round(1000 * (time.process_time() - cpu) / each, 3)}  # fmt: skip
+    return {
+        "bytes_a_second": round((net.counts["bytes"] - begun["bytes"]) / each, 1),
+        "datagrams_a_second": round((net.counts["sent"] - begun["sent"]) / each, 2),
+        "cpu_ms_a_second": round(1000 * (time.process_time() - cpu) / each, 3),
+    }
 
 
 def world(seed: int, period: float = 0.2, kind: Any = Fleet) -> dict[str, Any]:
@@ -168,11 +175,23 @@
     took = net.run_until(net.settled, 2 * bound, 0.02)
     net.run(net.now + 2.0)
     live = [name for name in names if net.nodes[name].machine is not None]
-    dead = [(m.me.name, name) for m in net.live() for name, other in m.members.items()
-            if other.record.state >= 2 and name in live]  # fmt: skip
-    return {"seed": seed, "members": count, "took": took, "bound": round(bound, 2), "dead": dead, "faults": told,
-            "wrong": wrong / max(1, samples), "wrong by the fixed list": listed / max(1, samples),
-            "fine": took is not None and took <= bound and not dead and net.settled()}  # fmt: skip
+    dead = [
+        (m.me.name, name)
+        for m in net.live()
+        for name, other in m.members.items()
+        if other.record.state >= 2 and name in live
+    ]
+    return {
+        "seed": seed,
+        "members": count,
+        "took": took,
+        "bound": round(bound, 2),
+        "dead": dead,
+        "faults": told,
+        "wrong": wrong / max(1, samples),
+        "wrong by the fixed list": listed / max(1, samples),
+        "fine": took is not None and took <= bound and not dead and net.settled(),
+    }
 
 
 def main() -> int:
@@ -188,17 +207,26 @@
     if asked.worlds:
         rows = [world(seed, asked.period, kind) for seed in range(asked.worlds)]
         rows.sort(key=lambda row: (row["fine"], -(row["took"] if row["took"] is not None else 1e9)))
-        told = {"worlds": asked.worlds, "fine": sum(row["fine"] for row in rows), "worst": rows[:10],
-                "took": spread([row["took"] for row in rows]),
-                **{key: round(sum(row[key] for row in rows) / len(rows), 4)
-                   for key in ("wrong", "wrong by the fixed list")}}  # fmt: skip
+        told = {
+            "worlds": asked.worlds,
+            "fine": sum(row["fine"] for row in rows),
+            "worst": rows[:10],
+            "took": spread([row["took"] for row in rows]),
+            **{
+                key: round(sum(row[key] for row in rows) / len(rows), 4) for key in ("wrong", "wrong by the fixed list")
+            },
+        }
     else:
         for count in asked.members:
             seeds = range(asked.seeds if count <= 40 else max(2, asked.seeds // 10))
             runs = [settling(count, terms, seed, kind) for seed in seeds]
             row: dict[str, Any] = {what: spread([run[what] for run in runs]) for what in runs[0]}
-            row["bound"] = {"crash": terms.detected(count), "join": terms.healed(count),
-                            "stop and return": terms.healed(count), "healed cut": terms.healed(count)}  # fmt: skip
+            row["bound"] = {
+                "crash": terms.detected(count),
+                "join": terms.healed(count),
+                "stop and return": terms.healed(count),
+                "healed cut": terms.healed(count),
+            }
             row["cost"] = cost(count, terms, 1, kind)
             if count <= 40:
                 seconds = 600.0 if count <= 8 else 120.0
--- a/benchmarks/platform/size.py
+++ b/benchmarks/platform/size.py
@@ -27,8 +27,20 @@
 from benchmarks.platform.cost import ROOT, SETTINGS, cpu, resident
 from oxbowarch.brain import Brain
 from oxbowarch.interface import (
-    Effect, Entry, Group, JobClass, ListKind, Note, Outcome, Report, Request, Send, Settings, State, Status,
-)  # fmt: skip
+    Effect,
+    Entry,
+    Group,
+    JobClass,
+    ListKind,
+    Note,
+    Outcome,
+    Report,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+)
 from tests.support import Lines, free_port
 
 READY_WITHIN, WATCHED = 30.0, 10.0  # s
@@ -36,8 +48,19 @@
 
 
 def hosts(count: int, weight: float = 1.0) -> list[dict[str, Any]]:
-    return [{"host": f"s-{n * 2654435761 % 2**32:08x}", "dial": f"127.0.0.1:{20000 + n}", "site": "a", "class": "m",
-             "block": n // 5, "health": "active", "share": weight, "born_ms": 0} for n in range(count)]  # fmt: skip
+    return [
+        {
+            "host": f"s-{n * 2654435761 % 2**32:08x}",
+            "dial": f"127.0.0.1:{20000 + n}",
+            "site": "a",
+            "class": "m",
+            "block": n // 5,
+            "health": "active",
+            "share": weight,
+            "born_ms": 0,
+        }
+        for n in range(count)
+    ]
 
 
 async def program(size: int) -> dict[str, Any]:
@@ -56,17 +79,29 @@
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     settings = {**SETTINGS, "balancers": size, "limits": {**SETTINGS["limits"], "peers": True}}  # type: ignore[dict-item]
-    conf = {"name": "n", "listen": f"127.0.0.1:{port}", "seed": "1", "discovery": f"127.0.0.1:{agent}",
-            "settings": settings, "limits": {"memory_mb": 32, "sockets": 256}, "peer_listen": f"127.0.0.1:{peer}",
-            "peers": [f"127.0.0.1:{peer}"] + [f"127.1.{n // 250}.{1 + n % 250}:9" for n in range(size - 1)],
-            "peers_all": "127.1.255.1:9", "known": {"seq": 1, "whole": True, "hosts": hosts(size)}}  # fmt: skip
+    conf = {
+        "name": "n",
+        "listen": f"127.0.0.1:{port}",
+        "seed": "1",
+        "discovery": f"127.0.0.1:{agent}",
+        "settings": settings,
+        "limits": {"memory_mb": 32, "sockets": 256},
+        "peer_listen": f"127.0.0.1:{peer}",
+        "peers": [f"127.0.0.1:{peer}"] + [f"127.1.{n // 250}.{1 + n % 250}:9" for n in range(size - 1)],
+        "peers_all": "127.1.255.1:9",
+        "known": {"seq": 1, "whole": True, "hosts": hosts(size)},
+    }
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(conf, file)
         file.flush()
         environ = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
         begun = time.monotonic()
-        process = subprocess.Popen([sys.executable, "-O", "-m", "thistleshore"], cwd=ROOT, stderr=subprocess.DEVNULL,
-                                   env=environ | {"PROXY_CONFIG": file.name})  # fmt: skip
+        process = subprocess.Popen(
+            [sys.executable, "-O", "-m", "thistleshore"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env=environ | {"PROXY_CONFIG": file.name},
+        )
         try:
             async with trio.open_nursery() as nursery:
                 await nursery.start(trio.serve_tcp, discovery, agent)
@@ -75,9 +110,12 @@
                         await trio.sleep(0.01)
                 started, before = time.monotonic() - begun, cpu(process.pid)
                 await trio.sleep(WATCHED)
-                found = {"ready_s": round(started, 2), "memory_mb": round(resident(process.pid) / 1024, 1),
-                         "descriptors": len(list(Path(f"/proc/{process.pid}/fd").iterdir())),
-                         "idle_cpu_ms_a_s": round((cpu(process.pid) - before) / WATCHED * 1e3, 1)}  # fmt: skip
+                found = {
+                    "ready_s": round(started, 2),
+                    "memory_mb": round(resident(process.pid) / 1024, 1),
+                    "descriptors": len(list(Path(f"/proc/{process.pid}/fd").iterdir())),
+                    "idle_cpu_ms_a_s": round((cpu(process.pid) - before) / WATCHED * 1e3, 1),
+                }
                 nursery.cancel_scope.cancel()
         finally:
             process.send_signal(signal.SIGKILL)
@@ -94,10 +132,27 @@
 
 
 def module(size: int, jobs: int = 3000) -> dict[str, Any]:
-    classes = (JobClass(Effect.SAFE, aim=0.4, stretch=2.5, give_up=10.0, worth=3.0),
-               JobClass(Effect.KEYED, group=Group.CELL, repeat_window=7.5, aim=0.4, stretch=2.0))  # fmt: skip
-    brain = Brain(Settings(size, 0, classes, (50.0,) * 9, can_tell=True, tells_start=True, can_cancel=True,
-                           second_copies=True, max_attempts=6, cold_from=0.12, warm_up=24.0), 1, 0.0)  # fmt: skip
+    classes = (
+        JobClass(Effect.SAFE, aim=0.4, stretch=2.5, give_up=10.0, worth=3.0),
+        JobClass(Effect.KEYED, group=Group.CELL, repeat_window=7.5, aim=0.4, stretch=2.0),
+    )
+    brain = Brain(
+        Settings(
+            size,
+            0,
+            classes,
+            (50.0,) * 9,
+            can_tell=True,
+            tells_start=True,
+            can_cancel=True,
+            second_copies=True,
+            max_attempts=6,
+            cold_from=0.12,
+            warm_up=24.0,
+        ),
+        1,
+        0.0,
+    )
     random, now, listed, out = Random(2), 0.0, 0.0, list[tuple[float, int, bytes]]()
     entries = tuple(Entry(host["host"].encode(), State.READY, cell=host["block"]) for host in hosts(size))
     brain.on_list(ListKind.FULL, entries, 0.0)
@@ -124,9 +179,11 @@
             _, number, worker = out.pop(0)
             brain.on_outcome(Outcome(number, 0, worker, Status.OK, 0.3, True, Report(2.0, None, 1.0)), now)
         spent["job"] += time.process_time() - begun
-    return {"job_us": round(spent["job"] / times["job"] * 1e6, 1),
-            "list_ms": round(spent["list"] / times["list"] * 1e3, 3),
-            "note_us": round(spent["note"] / times["note"] * 1e6, 1)}  # fmt: skip
+    return {
+        "job_us": round(spent["job"] / times["job"] * 1e6, 1),
+        "list_ms": round(spent["list"] / times["list"] * 1e3, 3),
+        "note_us": round(spent["note"] / times["note"] * 1e6, 1),
+    }
 
 
 def main() -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -53,8 +53,12 @@
         key = {"beanstalkd": "tube", "http": "path"}[self.front]
         slash = "/" if key == "path" else ""
         contracts = [{**contract, key: f"{slash}{contract['class']}"} for contract in CONTRACTS]
-        return {self.front: {"listen": f"127.0.0.1:{self.port}"}, "service": [{"name": "ticketing"}],
-                "contract": contracts, "host": self.hosts()}  # fmt: skip
+        return {
+            self.front: {"listen": f"127.0.0.1:{self.port}"},
+            "service": [{"name": "ticketing"}],
+            "contract": contracts,
+            "host": self.hosts(),
+        }
 
     def hosts(self) -> list[dict[str, Any]]:
         raise NotImplementedError
@@ -102,8 +106,10 @@
         return {**super().file(), "discovery": {"address": f"127.0.0.1:{self.ports['discovery']}"}}
 
     def hosts(self) -> list[dict[str, Any]]:
-        return [{"name": name, "service": "ticketing", "bay": bay, "address": f"127.0.0.1:{self.ports[name]}"}
-                for name, bay in HOSTS.items()]  # fmt: skip
+        return [
+            {"name": name, "service": "ticketing", "bay": bay, "address": f"127.0.0.1:{self.ports[name]}"}
+            for name, bay in HOSTS.items()
+        ]
 
     async def start(self, nursery: trio.Nursery) -> None:
         for name in HOSTS:
@@ -142,8 +148,16 @@
         with trio.move_on_after(5.0):
             while f"after={self.seq}&".encode() in first:
                 await self.changed.wait()
-        hosts = [{"host": name, "dial": f"127.0.0.1:{self.ports[name]}", "class": "ticketing", "block": bay,
-                  "health": self.health[name]} for name, bay in HOSTS.items()]  # fmt: skip
+        hosts = [
+            {
+                "host": name,
+                "dial": f"127.0.0.1:{self.ports[name]}",
+                "class": "ticketing",
+                "block": bay,
+                "health": self.health[name],
+            }
+            for name, bay in HOSTS.items()
+        ]
         text = json.dumps({"seq": self.seq, "whole": True, "hosts": hosts}).encode()
         await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text))
         return True
@@ -177,18 +191,44 @@
         super().__init__(steps)
         self.admin = free_port()
         self.lanes = [
-            {"name": contract["class"], "aim": 0.4, "giveUp": DEADLINE, "group": "cell", "worth": 1.0,
-             "effect": {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}[contract["effect"]],
-             "repeatWindow": contract.get("window", 0.0)} for contract in CONTRACTS]  # fmt: skip
+            {
+                "name": contract["class"],
+                "aim": 0.4,
+                "giveUp": DEADLINE,
+                "group": "cell",
+                "worth": 1.0,
+                "effect": {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}[contract["effect"]],
+                "repeatWindow": contract.get("window", 0.0),
+            }
+            for contract in CONTRACTS
+        ]
         self.attempts = 3
 
     def conf(self) -> dict[str, Any]:
-        settings = {"balancers": 1, "quantum": 0.005, "localities": ["a"], "kinds": ["ticketing"], "rules": {},
-                    "lanes": self.lanes, "tenants": [],
-                    "limits": {"maxAttempts": self.attempts, "connectTimeout": 0.2, "connIdle": 15.0,
-                               "retryAfter": True, "maxRetryAfter": 2.0}}  # fmt: skip
-        return {"name": "n0", "listen": f"127.0.0.1:{self.port}", "control": f"127.0.0.1:{self.admin}", "seed": 7,
-                "discovery": f"127.0.0.1:{self.ports['discovery']}", "settings": settings}  # fmt: skip
+        settings = {
+            "balancers": 1,
+            "quantum": 0.005,
+            "localities": ["a"],
+            "kinds": ["ticketing"],
+            "rules": {},
+            "lanes": self.lanes,
+            "tenants": [],
+            "limits": {
+                "maxAttempts": self.attempts,
+                "connectTimeout": 0.2,
+                "connIdle": 15.0,
+                "retryAfter": True,
+                "maxRetryAfter": 2.0,
+            },
+        }
+        return {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.port}",
+            "control": f"127.0.0.1:{self.admin}",
+            "seed": 7,
+            "discovery": f"127.0.0.1:{self.ports['discovery']}",
+            "settings": settings,
+        }
 
     def plan(self) -> config.Plan:
         return config.platform_plan(json.loads(json.dumps(self.conf())), {}, 0.0)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,13 +24,34 @@
 from thistleshore.expressions.model import request_environment
 
 SUPPLIED = str(ROOT / "deploy" / "expressions.toml")
-NEW = ("click", "lark", "re2", "netaddr", "xxhash", "msgspec", "thistleshore.cli", "thistleshore.expressions",
-       "thistleshore.routing", "thistleshore.contracts", "thistleshore.metrics", "structlog", "thistleshore.fleet",
-       "thistleshore.rig", "thistleshore.releases", "thistleshore.distribution", "thistleshore.configuration",
-       "thistleshore.config.fleets", "matplotlib", "rich", "numpy",
-       "sqlite3",
-       "prometheus_client", "zstandard", "thistleshore.config.operator",
-       "thistleshore.beanstalkd.downstream")  # fmt: skip
+NEW = (
+    "click",
+    "lark",
+    "re2",
+    "netaddr",
+    "xxhash",
+    "msgspec",
+    "thistleshore.cli",
+    "thistleshore.expressions",
+    "thistleshore.routing",
+    "thistleshore.contracts",
+    "thistleshore.metrics",
+    "structlog",
+    "thistleshore.fleet",
+    "thistleshore.rig",
+    "thistleshore.releases",
+    "thistleshore.distribution",
+    "thistleshore.configuration",
+    "thistleshore.config.fleets",
+    "matplotlib",
+    "rich",
+    "numpy",
+    "sqlite3",
+    "prometheus_client",
+    "zstandard",
+    "thistleshore.config.operator",
+    "thistleshore.beanstalkd.downstream",
+)
 
 
 def run(*args: str, given: str | None = None) -> Result:
@@ -101,10 +122,16 @@
 
 @pytest.mark.parametrize(
     ("expression", "request_", "value"),
-    [("request.path", '{"path": "/a/../b"}', "/b"), ("client.address", '{"client": "10.0.0.9"}', "10.0.0.9"),
-     ("[1, 2]", "{}", [1, 2]), ("1.0 / 0.0", "{}", "Infinity"), ("{'a': [ip('::1')]}", "{}", {"a": ["::1"]}),
-     ("inNet(client.address, 'ingenzi-counters')", '{"client": "10.31.0.1"}', True), ("'é'", "{}", "é")],
-)  # fmt: skip
+    [
+        ("request.path", '{"path": "/a/../b"}', "/b"),
+        ("client.address", '{"client": "10.0.0.9"}', "10.0.0.9"),
+        ("[1, 2]", "{}", [1, 2]),
+        ("1.0 / 0.0", "{}", "Infinity"),
+        ("{'a': [ip('::1')]}", "{}", {"a": ["::1"]}),
+        ("inNet(client.address, 'ingenzi-counters')", '{"client": "10.31.0.1"}', True),
+        ("'é'", "{}", "é"),
+    ],
+)
 def test_eval_prints_json(expression: str, request_: str, value: Any) -> None:
     found = run("expr", "eval", expression, "--request", "-", "--set", SUPPLIED, given=request_)
     assert found.exit_code == 0 and json.loads(found.output) == value
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -18,16 +18,30 @@
 ROOT = Path(__file__).parent.parent
 OPERATOR = (ROOT / "deploy" / "operator.toml").read_text()
 SETTINGS = {
-    "balancers": 1, "quantum": 0.005, "localities": ["a"], "kinds": ["m2"], "rules": {},
+    "balancers": 1,
+    "quantum": 0.005,
+    "localities": ["a"],
+    "kinds": ["m2"],
+    "rules": {},
     "lanes": [{"name": "render", "effect": "retryable", "aim": 0.4, "giveUp": 5.0}],
     "limits": {"maxAttempts": 3, "connectTimeout": 0.2, "connIdle": 15.0, "probes": True},
     "tenants": [{"name": "acme", "quotaPerS": 4.0}],
-}  # fmt: skip
+}
 PLATFORM: dict[str, Any] = {
-    "name": "n3", "listen": "127.0.0.1:5000", "discovery": "127.0.0.1:8500", "seed": "8c1f", "new": 1,
-    "settings": SETTINGS, "known": {"seq": 41, "whole": True, "hosts": [
-        {"host": "s-1", "dial": "127.0.0.1:5001", "site": "a", "class": "m2", "block": 3, "health": "active"}]},
-}  # fmt: skip
+    "name": "n3",
+    "listen": "127.0.0.1:5000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f",
+    "new": 1,
+    "settings": SETTINGS,
+    "known": {
+        "seq": 41,
+        "whole": True,
+        "hosts": [
+            {"host": "s-1", "dial": "127.0.0.1:5001", "site": "a", "class": "m2", "block": 3, "health": "active"}
+        ],
+    },
+}
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
@@ -52,13 +66,21 @@
 
 @pytest.mark.parametrize(
     ("path", "value", "key"),
-    [("listen", "here", "PROXY_LISTEN"), ("discovery", "x:0", "discovery"), ("seed", "zz", "seed"),
-     ("settings.lanes", None, "lanes"), ("settings.limits.connectTimeout", "soon", "settings.limits.connectTimeout"),
-     ("settings.balancers", 0, "balancers"), ("settings.quantum", "a", "settings.quantum"),
-     ("settings.lanes", [{"name": "a", "aim": None}], "settings.lanes[0].aim"),
-     ("limits", [], "limits"), ("limits", {"sockets": 3}, "limits.sockets"),
-     ("known.hosts", [{}], "known"), ("settings.tenants", [{"quotaPerS": 1}], "settings.tenants[0].name")],
-)  # fmt: skip
+    [
+        ("listen", "here", "PROXY_LISTEN"),
+        ("discovery", "x:0", "discovery"),
+        ("seed", "zz", "seed"),
+        ("settings.lanes", None, "lanes"),
+        ("settings.limits.connectTimeout", "soon", "settings.limits.connectTimeout"),
+        ("settings.balancers", 0, "balancers"),
+        ("settings.quantum", "a", "settings.quantum"),
+        ("settings.lanes", [{"name": "a", "aim": None}], "settings.lanes[0].aim"),
+        ("limits", [], "limits"),
+        ("limits", {"sockets": 3}, "limits.sockets"),
+        ("known.hosts", [{}], "known"),
+        ("settings.tenants", [{"quotaPerS": 1}], "settings.tenants[0].name"),
+    ],
+)
 def test_faulty_keys_of_the_platform_are_named(path: str, value: Any, key: str) -> None:
     with pytest.raises(config.ConfigError) as caught:
         config.platform_plan(changed(path, value), {}, 0.0)
@@ -78,18 +100,27 @@
 
 @pytest.mark.parametrize(
     ("old", "new", "key"),
-    [("streams =", "stream =", "stream: unknown key"), ("touches =", "touch =", "beanstalkd.touch: unknown key"),
-     ("bay = 2", "rack = 2", "host[2].rack: unknown key"), ('listen = "127.0.0.1:11300"', "", "beanstalkd.listen"),
-     ("rate = 15.0", "rate = -1", "contract[1].rate"), ("rate = 15.0", "", "contract[1].rate: missing"),
-     ("window = 7.5", "", "contract[1].window: missing"), ("attempts = 3", "attempts = 0", "contract[1].attempts"),
-     ('effect = "keyed"', 'effect = "some"', "contract[1].effect"), ("span = 10.0", "span = 0", "budget.span"),
-     ('tube = "ticket-issue"', 'tube = "seat-search"', "contract[1].tube"),
-     ("sockets = 1024", "sockets = 9", "limits.sockets"),
-     ('tube = "ticket-issue"', 'path = "/t"', "contract[1].path"), ('"counter-2"', '"counter-1"', "host[1].name"),
-     ('tube = "ticket-issue"', 'tube = "reply.x"', "contract[1].tube"),
-     ("deadline = 5.0", "deadline = true", "contract[1].deadline"),
-     ("streams = 512", "streams = 512.5", "file.streams"), ("touches = false", 'touches = "no"', "beanstalkd.touches")],
-)  # fmt: skip
+    [
+        ("streams =", "stream =", "stream: unknown key"),
+        ("touches =", "touch =", "beanstalkd.touch: unknown key"),
+        ("bay = 2", "rack = 2", "host[2].rack: unknown key"),
+        ('listen = "127.0.0.1:11300"', "", "beanstalkd.listen"),
+        ("rate = 15.0", "rate = -1", "contract[1].rate"),
+        ("rate = 15.0", "", "contract[1].rate: missing"),
+        ("window = 7.5", "", "contract[1].window: missing"),
+        ("attempts = 3", "attempts = 0", "contract[1].attempts"),
+        ('effect = "keyed"', 'effect = "some"', "contract[1].effect"),
+        ("span = 10.0", "span = 0", "budget.span"),
+        ('tube = "ticket-issue"', 'tube = "seat-search"', "contract[1].tube"),
+        ("sockets = 1024", "sockets = 9", "limits.sockets"),
+        ('tube = "ticket-issue"', 'path = "/t"', "contract[1].path"),
+        ('"counter-2"', '"counter-1"', "host[1].name"),
+        ('tube = "ticket-issue"', 'tube = "reply.x"', "contract[1].tube"),
+        ("deadline = 5.0", "deadline = true", "contract[1].deadline"),
+        ("streams = 512", "streams = 512.5", "file.streams"),
+        ("touches = false", 'touches = "no"', "beanstalkd.touches"),
+    ],
+)
 def test_faulty_keys_of_an_operator_are_named(old: str, new: str, key: str) -> None:
     assert old in OPERATOR
     with pytest.raises(config.ConfigError) as caught:
@@ -139,8 +170,10 @@
     search, pay = plan.settings.classes
     assert plan.http is not None and plan.http.listen == ("127.0.0.1", 8080) and plan.connect_within == 0.25
     assert [(line.dial, line.entry.weight, line.entry.kind) for line in plan.known] == [
-        (("127.0.0.1", 9001), 3.0, 0), (("127.0.0.1", 9002), 1.0, 0), (("127.0.0.1", 9003), 1.0, 1),
-    ]  # fmt: skip
+        (("127.0.0.1", 9001), 3.0, 0),
+        (("127.0.0.1", 9002), 1.0, 0),
+        (("127.0.0.1", 9003), 1.0, 1),
+    ]
     assert (search.effect, search.give_up, search.max_attempts, search.kinds) == (Effect.SAFE, 10.0, 4, (0,))
     assert (pay.effect, pay.give_up, pay.kinds) == (Effect.UNSAFE, 60.0, (1,))
     assert plan.live is not None
@@ -150,18 +183,23 @@
 
 @pytest.mark.parametrize(
     ("old", "new", "line", "name"),
-    [("server_name _;", "server_name a.example;", 7, "server_name"), ("weight=3", "backup", 4, "server"),
-     ("listen 127.0.0.1:8080;", "listen 127.0.0.1:8080 ssl;", 6, "listen"), ("^~ /pay/", "~ /pay/", 10, "location"),
-     ("proxy_next_upstream off;", "proxy_set_header A b;", 10, "proxy_set_header"),
-     ("10s", "1d", 8, "proxy_read_timeout"),
-     ("http://seats", "http://seats/x", 8, "proxy_pass"), ("127.0.0.1:9001", "a.example:9001", 4, "server"),
-     ("upstream seats {", "upstream seats { least_conn;", 4, "least_conn"),
-     ("non_idempotent", "http_404", 9, "proxy_next_upstream"),
-     ("proxy_connect_timeout 250ms;", "client_max_body_size 1m;", 3, "client_max_body_size"),
-     ("http {", "user x;\nhttp {", 2, "user"),
-     ("proxy_next_upstream off;", "proxy_connect_timeout 1s;", 10, "proxy_connect_timeout"),
-     ("}\n}\n", "}\n", 11, "parse")],
-)  # fmt: skip
+    [
+        ("server_name _;", "server_name a.example;", 7, "server_name"),
+        ("weight=3", "backup", 4, "server"),
+        ("listen 127.0.0.1:8080;", "listen 127.0.0.1:8080 ssl;", 6, "listen"),
+        ("^~ /pay/", "~ /pay/", 10, "location"),
+        ("proxy_next_upstream off;", "proxy_set_header A b;", 10, "proxy_set_header"),
+        ("10s", "1d", 8, "proxy_read_timeout"),
+        ("http://seats", "http://seats/x", 8, "proxy_pass"),
+        ("127.0.0.1:9001", "a.example:9001", 4, "server"),
+        ("upstream seats {", "upstream seats { least_conn;", 4, "least_conn"),
+        ("non_idempotent", "http_404", 9, "proxy_next_upstream"),
+        ("proxy_connect_timeout 250ms;", "client_max_body_size 1m;", 3, "client_max_body_size"),
+        ("http {", "user x;\nhttp {", 2, "user"),
+        ("proxy_next_upstream off;", "proxy_connect_timeout 1s;", 10, "proxy_connect_timeout"),
+        ("}\n}\n", "}\n", 11, "parse"),
+    ],
+)
 def test_what_cannot_be_carried_over_is_refused_by_name(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, line: int, name: str
 ) -> None:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -46,10 +46,14 @@
 
 @pytest.mark.parametrize(
     ("said", "answer"),
-    [(b"", b""), (b"POST / HT", b"HTTP/1.1 408"), (HEAD + b"X-A: b\r\n", b"HTTP/1.1 408"),
-     (HEAD + b"Content-Length: 9\r\n\r\nhalf", b"HTTP/1.1 408"),
-     (HEAD + b"Content-Length: 60000000\r\n\r\n" + b"x" * 3_000_000, b"HTTP/1.1 413")],
-)  # fmt: skip
+    [
+        (b"", b""),
+        (b"POST / HT", b"HTTP/1.1 408"),
+        (HEAD + b"X-A: b\r\n", b"HTTP/1.1 408"),
+        (HEAD + b"Content-Length: 9\r\n\r\nhalf", b"HTTP/1.1 408"),
+        (HEAD + b"Content-Length: 60000000\r\n\r\n" + b"x" * 3_000_000, b"HTTP/1.1 413"),
+    ],
+)
 def test_a_newcomer_gets_an_error_or_a_close_within_3_s_whatever_it_withholds(said: bytes, answer: bytes) -> None:
     async def scenario(port: int, _: Downstream) -> tuple[bytes, float]:
         begun, stream = trio.current_time(), await trio.open_tcp_stream("127.0.0.1", port)
@@ -165,8 +169,9 @@
         found = []
 
         async def ask(n: int, lines: Lines) -> None:
-            await lines.stream.send_all(b"POST /seat-search HTTP/1.1\r\nHost: s\r\nX-Txn: %x\r\n"
-                                        b"Content-Length: 1\r\n\r\nx" % n)  # fmt: skip
+            await lines.stream.send_all(
+                b"POST /seat-search HTTP/1.1\r\nHost: s\r\nX-Txn: %x\r\nContent-Length: 1\r\n\r\nx" % n
+            )
             found.append((await lines.head())[0].split()[1])
 
         async with trio.open_nursery() as nursery:
@@ -198,8 +203,9 @@
 
 @pytest.mark.parametrize("how", ["Connection: close\r\n", ""])
 def test_an_answer_that_ends_its_connection_is_not_lost_with_bytes_that_nobody_read(
-    monkeypatch: pytest.MonkeyPatch, how: str,
-) -> None:  # fmt: skip
+    monkeypatch: pytest.MonkeyPatch,
+    how: str,
+) -> None:
     """They come after the answer and before the close, which would reset the connection."""
     clients: list[trio.SocketStream] = []
 
--- a/thistleshore/rig/checks.py
+++ b/thistleshore/rig/checks.py
@@ -84,18 +84,25 @@
         if row["kind"] == "detach":
             for worker in row["who"]:
                 found += [
-                    Finding("drained", sent["t"], f"{sent['job']} was sent to {worker} by {sent['by']} "
-                                                  f"{sent['t'] - row['t']:.2f} s after it was taken out")
+                    Finding(
+                        "drained",
+                        sent["t"],
+                        f"{sent['job']} was sent to {worker} by {sent['by']} "
+                        f"{sent['t'] - row['t']:.2f} s after it was taken out",
+                    )
                     for sent in of(rows, "sent")
                     if sent["worker"] == worker and row["t"] + DRAIN + SLACK < sent["t"] < row["until"]
-                ]  # fmt: skip
+                ]
     return found
 
 
 def settled(rows: Sequence[Row]) -> list[Finding]:
     """After each time that the rig waited for it, all that lived told the same view, and it was the truth."""
-    return [Finding("settled", row["t"], f"not within {row['bound']:.2f} s: {row['told']}")
-            for row in of(rows, "settled") if row["took"] is None]  # fmt: skip
+    return [
+        Finding("settled", row["t"], f"not within {row['bound']:.2f} s: {row['told']}")
+        for row in of(rows, "settled")
+        if row["took"] is None
+    ]
 
 
 def living(rows: Sequence[Row]) -> list[Finding]:
@@ -106,9 +113,13 @@
             alive = set(row["names"])
             break
         last[row["by"]] = row
-    return [Finding("living", row["t"], f"{by} holds {member['name']} for {member['state']}")
-            for by, row in last.items() if row["self"] in alive for member in row["members"]
-            if member["state"] in ("dead", "left") and member["name"] in alive]  # fmt: skip
+    return [
+        Finding("living", row["t"], f"{by} holds {member['name']} for {member['state']}")
+        for by, row in last.items()
+        if row["self"] in alive
+        for member in row["members"]
+        if member["state"] in ("dead", "left") and member["name"] in alive
+    ]
 
 
 def limited(rows: Sequence[Row]) -> list[Finding]:
@@ -132,8 +143,11 @@
 
 def clean(rows: Sequence[Row]) -> list[Finding]:
     """A process that was told to end by SIGTERM ends with status 0, in time."""
-    return [Finding("clean", row["t"], f"{row['name']} ended with {row['status']}")
-            for row in of(rows, "exit") if row["asked"] and row["status"] != 0]  # fmt: skip
+    return [
+        Finding("clean", row["t"], f"{row['name']} ended with {row['status']}")
+        for row in of(rows, "exit")
+        if row["asked"] and row["status"] != 0
+    ]
 
 
 # -- agreed configuration: rows of `thistleshore.rig.configuration`
@@ -277,10 +291,19 @@
 
 
 CHECKS: Mapping[str, Callable[[Sequence[Row]], list[Finding]]] = {
-    "answers": answers, "keyed": keyed, "drained": drained, "settled": settled, "living": living, "clean": clean,
-    "limited": limited, "one_content": one_content, "forward": forward, "kept": kept, "refusals": refusals,
+    "answers": answers,
+    "keyed": keyed,
+    "drained": drained,
+    "settled": settled,
+    "living": living,
+    "clean": clean,
+    "limited": limited,
+    "one_content": one_content,
+    "forward": forward,
+    "kept": kept,
+    "refusals": refusals,
     "honest": honest,
-}  # fmt: skip
+}
 
 
 def judge(rows: Sequence[Row], names: Iterable[str] = CHECKS) -> list[Finding]:
@@ -291,7 +314,10 @@
 def served(rows: Sequence[Row]) -> dict[str, Any]:
     """How many tries were asked, answered 200, refused, answered otherwise and abandoned."""
     told = [row["told"] for row in of(rows, "answered")]
-    return {"asked": len(of(rows, "asked")), "served": told.count("200"),
-            "refused": sum(told.count(status) for status in ("429", "503")),
-            "otherwise": sum(status not in ("200", "429", "503") for status in told),
-            "abandoned": len(of(rows, "abandoned"))}  # fmt: skip
+    return {
+        "asked": len(of(rows, "asked")),
+        "served": told.count("200"),
+        "refused": sum(told.count(status) for status in ("429", "503")),
+        "otherwise": sum(status not in ("200", "429", "503") for status in told),
+        "abandoned": len(of(rows, "abandoned")),
+    }
--- a/thistleshore/rig/relay.py
+++ b/thistleshore/rig/relay.py
@@ -110,8 +110,9 @@
         return self._links.setdefault((sender, receiver), Link())
 
 
-async def carry_datagrams(links: Links, receiver: str, target: Address, senders: Mapping[Address, str],
-                          relay: trio.socket.SocketType) -> None:  # fmt: skip
+async def carry_datagrams(
+    links: Links, receiver: str, target: Address, senders: Mapping[Address, str], relay: trio.socket.SocketType
+) -> None:
     """Pass on what comes to `relay`, a bound socket, until cancelled; what is on its way then is lost."""
     chance = links.random.random
     async with trio.open_nursery() as nursery:
@@ -152,8 +153,9 @@
                     await send(data)
 
 
-async def carry_connections(links: Links, sender: str, receiver: str, target: Address,
-                            listener: trio.SocketListener) -> None:  # fmt: skip
+async def carry_connections(
+    links: Links, sender: str, receiver: str, target: Address, listener: trio.SocketListener
+) -> None:
     """Pass on connections from one process to another until cancelled.
 
     A cut link takes connections and carries nothing, as a network does that drops packets; a reset ends them.
--- a/thistleshore/rig/report.py
+++ b/thistleshore/rig/report.py
@@ -36,13 +36,26 @@
     """The run in Markdown."""
     took = summary["took"]
     how = "NOT settled" if took is None else f"settled {took:.2f} s after the last of them"
-    lines = [f"# {summary['world']}, seed {summary['seed']}", "",
-             f"{summary['processes']} processes, {summary['faults']} faults; {how} (bound {summary['bound']:.2f} s).",
-             "", "| from s | to s | fault | of | to | amount |", "| --- | --- | --- | --- | --- | --- |"]  # fmt: skip
-    lines += [f"| {row['t']:.2f} | {row['until']:.2f} | {row['kind']} | {' '.join(row['who'])} | "
-              f"{' '.join(row['to'])} | {row['amount']:g} |" for row in of(rows, "fault")]  # fmt: skip
-    lines += ["", "| " + " | ".join(summary["served"]) + " |", "|" + " --- |" * len(summary["served"]),
-              "| " + " | ".join(map(str, summary["served"].values())) + " |", ""]  # fmt: skip
+    lines = [
+        f"# {summary['world']}, seed {summary['seed']}",
+        "",
+        f"{summary['processes']} processes, {summary['faults']} faults; {how} (bound {summary['bound']:.2f} s).",
+        "",
+        "| from s | to s | fault | of | to | amount |",
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
+    lines += [
+        f"| {row['t']:.2f} | {row['until']:.2f} | {row['kind']} | {' '.join(row['who'])} | "
+        f"{' '.join(row['to'])} | {row['amount']:g} |"
+        for row in of(rows, "fault")
+    ]
+    lines += [
+        "",
+        "| " + " | ".join(summary["served"]) + " |",
+        "|" + " --- |" * len(summary["served"]),
+        "| " + " | ".join(map(str, summary["served"].values())) + " |",
+        "",
+    ]
     if summary["findings"]:
         lines += ["| check | s | what |", "| --- | --- | --- |"]
         lines += [f"| {found['check']} | {found['t']:.2f} | {found['told']} |" for found in summary["findings"]]
@@ -63,15 +76,19 @@
     pairs = sorted(told)
     figure, (above, below) = pyplot.subplots(
         2, 1, sharex=True, figsize=(11, 2.5 + 0.16 * max(10, len(pairs))), height_ratios=(max(10, len(pairs)), 10)
-    )  # fmt: skip
+    )
     for n, pair in enumerate(pairs):
         for since, until, state in told[pair]:
             above.barh(n, until - since, left=since, height=0.8, color=COLOURS[state])
     above.set_yticks(range(len(pairs)), [f"{by}: {of_whom}" for by, of_whom in pairs], fontsize=6)
     above.invert_yaxis()
     above.set_title("what each process believes of each member; faults shaded", fontsize=9)
-    above.legend(handles=[patches.Rectangle((0, 0), 1, 1, color=COLOURS[state], label=state) for state in STATES],
-                 fontsize=7, loc="upper right", ncols=4)  # fmt: skip
+    above.legend(
+        handles=[patches.Rectangle((0, 0), 1, 1, color=COLOURS[state], label=state) for state in STATES],
+        fontsize=7,
+        loc="upper right",
+        ncols=4,
+    )
     for row in of(rows, "fault"):
         for axis in (above, below):
             axis.axvspan(row["t"], max(row["until"], row["t"] + 0.02), color="#4393c3", alpha=0.12)
--- a/thistleshore/rig/run.py
+++ b/thistleshore/rig/run.py
@@ -39,8 +39,13 @@
     await operators.end(operators.rig.running())
 
 
-async def play(world: World, seed: int, out: Path, command: Sequence[str] = PROGRAM,
-               told: Callable[[str], None] = lambda text: None) -> dict[str, Any]:  # fmt: skip
+async def play(
+    world: World,
+    seed: int,
+    out: Path,
+    command: Sequence[str] = PROGRAM,
+    told: Callable[[str], None] = lambda text: None,
+) -> dict[str, Any]:
     """One run; its summary, which lies in `out` with the record.  Cancelled, all is ended and nothing written."""
     faults = timeline(world, seed)
     async with open_rig(world, seed, out, command) as rig:
@@ -84,10 +89,15 @@
         rows = rig.truth.rows
     findings = checks.judge(rows)
     summary = {
-        "world": world.name, "seed": seed, "processes": world.processes, "faults": len(faults),
-        "bound": round(bound, 3), "took": None if took is None else round(took, 3), "served": checks.served(rows),
+        "world": world.name,
+        "seed": seed,
+        "processes": world.processes,
+        "faults": len(faults),
+        "bound": round(bound, 3),
+        "took": None if took is None else round(took, 3),
+        "served": checks.served(rows),
         "findings": [found._asdict() for found in findings],
-    }  # fmt: skip
+    }
     rig.truth.write(out / "record.jsonl")
     (out / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
     (out / "world.json").write_bytes(msgspec.json.encode(world))
