--- a/benchmarks/checks/fleet.py
+++ b/benchmarks/checks/fleet.py
@@ -89,8 +89,8 @@
                 if other != name:
                     node._take(self.nodes[other].me, 0.0)
 
-    def _made(self, name: str, number: int, life: int) -> Fleet:
-        me = Record(name, "127.0.0.1", 1 + number, "", life, 0, State.ALIVE, Service.READY, 2, "1")
+    def _made(self, name: str, number: int, generation: int) -> Fleet:
+        me = Record(name, "127.0.0.1", 1 + number, "", generation, 0, State.ALIVE, Service.READY, 2, "1")
         made = self.kind("f", me, Terms(), [], 0.0)
         made.quiet = False
         made._out.clear()
@@ -104,7 +104,7 @@
                     yield f"{name} suspects {other}", self._with(lambda w, n=name, o=other: w.suspect(n, o))  # type: ignore[misc]
                 elif member.record.state == State.SUSPECT:
                     yield f"{name} gives {other} up", self._with(lambda w, n=name, o=other: w.give_up(n, o))  # type: ignore[misc]
-            if node.me.life < BOUNDS["lives"]:
+            if node.me.generation < BOUNDS["lives"]:
                 yield f"{name} restarts", self._with(lambda w, n=name: w.restart(n))  # type: ignore[misc]
             for record in sorted(self.told, key=lambda r: (r.name, r.order)):
                 held = node.me if record.name == name else getattr(node.members.get(record.name), "record", None)
@@ -138,7 +138,7 @@
     def restart(self, name: str) -> None:
         """It knows nobody but its seeds, which are the others."""
         before = self.nodes[name]
-        made = self._made(name, NAMES.index(name), before.me.life + 1)
+        made = self._made(name, NAMES.index(name), before.me.generation + 1)
         for other in NAMES:
             if other != name:
                 made._take(self.nodes[other].me, 0.0)
@@ -168,7 +168,7 @@
             for other, member in node.members.items():
                 if member.record.order[:2] > self.nodes[other].me.order[:2]:
                     return f"{name} holds {other} {member.record.order}, which is only {self.nodes[other].me.order}"
-                if before is not None and before.nodes[name].me.life == node.me.life:
+                if before is not None and before.nodes[name].me.generation == node.me.generation:
                     held = before.nodes[name].members.get(other)
                     if held is not None and held.record.order > member.record.order:
                         return f"{name} goes back on {other}: {held.record.order} to {member.record.order}"
--- a/benchmarks/fleet/heartbeats.py
+++ b/benchmarks/fleet/heartbeats.py
@@ -36,7 +36,7 @@
 
     @property
     def digest(self) -> int:
-        return crc32(repr(sorted((r.name, r.life, r.service) for r in self.living())).encode())
+        return crc32(repr(sorted((r.name, r.generation, r.service) for r in self.living())).encode())
 
     @property
     def majority(self) -> bool:
@@ -63,7 +63,7 @@
         record = Record(*fields)
         out: list[Action] = []
         member = self.members.get(record.name)
-        if member is None or member.record.life <= record.life:
+        if member is None or member.record.generation <= record.generation:
             if member is None or member.record.state != State.ALIVE:
                 out.append(Changed("joined" if member is None else "returned", record.name))
             self.members[record.name] = _Other(record, now)
--- a/benchmarks/fleet/net.py
+++ b/benchmarks/fleet/net.py
@@ -50,14 +50,14 @@
         self._queue: list[tuple[float, int, str, object]] = []
         self._order = count()
 
-    def start(self, name: str, seeds: Iterable[str], life: int = 0, called: str = "") -> Fleet:
+    def start(self, name: str, seeds: Iterable[str], generation: int = 0, called: str = "") -> Fleet:
         """A new life of a member; `called`: by a name that another node may have, too."""
         node = self.nodes[name]
         me = Record(
             called or name,
             *node.address,
             "a",
-            life or next(self.lives),
+            generation or next(self.lives),
             0,
             int(State.ALIVE),
             int(Service.READY),
--- a/benchmarks/fleet/virtual.py
+++ b/benchmarks/fleet/virtual.py
@@ -125,7 +125,7 @@
 
     def again(name: str) -> None:
         if net.nodes[name].machine is None:
-            net.start(name, names[:2], life=at.choice([0, 0, 1]))
+            net.start(name, names[:2], generation=at.choice([0, 0, 1]))
 
     for _ in range(at.randint(2, 7)):
         what = at.choice(["kill", "leave", "stop", "cut", "cut", "one-way", "loss", "repeat", "slow"])
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -146,13 +146,13 @@
 
 def test_all_killed_and_started_at_once_are_new_lives() -> None:
     net = fleet(6)
-    old = {m.me.name: m.me.life for m in net.live()}
+    old = {m.me.name: m.me.generation for m in net.live()}
     for name in net.nodes:
         net.kill(name)
     for name in net.nodes:
         net.start(name, ["n0", "n1"])
     assert net.run_until(net.settled, TERMS.healed(6)) is not None
-    assert all(r.life > old[r.name] for m in net.live() for r in m.living())
+    assert all(r.generation > old[r.name] for m in net.live() for r in m.living())
 
 
 def test_a_name_that_restarts_five_times_in_ten_seconds_is_no_conflict() -> None:
@@ -166,27 +166,27 @@
     assert not any(event.what == "taken" for node in net.nodes.values() for _, event in node.events)
 
 
-@pytest.mark.parametrize("life", [1, 10**12])
-def test_a_restart_with_the_clock_set_back_or_ahead_is_a_later_life(life: int) -> None:
+@pytest.mark.parametrize("generation", [1, 10**12])
+def test_a_restart_with_the_clock_set_back_or_ahead_is_a_later_life(generation: int) -> None:
     net = fleet(4)
-    before = net.nodes["n3"].machine.me.life  # type: ignore[union-attr]
+    before = net.nodes["n3"].machine.me.generation  # type: ignore[union-attr]
     net.kill("n3")
-    machine = net.start("n3", ["n0", "n1"], life=life)
+    machine = net.start("n3", ["n0", "n1"], generation=generation)
     assert net.run_until(net.settled, TERMS.healed(4)) is not None
     net.run(net.now + 3)
-    assert net.settled() and machine.me.life > before and not machine.quiet
+    assert net.settled() and machine.me.generation > before and not machine.quiet
 
 
 def test_a_restart_that_finds_its_own_life_taken_is_a_later_one() -> None:
     """Else its datagrams, which are numbered anew, would count as repeated, and it would be suspected."""
     net = fleet(4)
-    life = net.nodes["n3"].machine.me.life  # type: ignore[union-attr]
+    generation = net.nodes["n3"].machine.me.generation  # type: ignore[union-attr]
     net.kill("n3")
-    machine = net.start("n3", ["n0", "n1"], life=life)
+    machine = net.start("n3", ["n0", "n1"], generation=generation)
     assert net.run_until(net.settled, TERMS.healed(4)) is not None
     since = net.now
     net.run(net.now + 5)
-    assert machine.me.life == life + 1 and not machine.counts["refutations"]
+    assert machine.me.generation == generation + 1 and not machine.counts["refutations"]
     events = [event for node in net.nodes.values() for when, event in node.events if when > since]
     assert not any(event.what == "suspected" for event in events)
 
@@ -201,7 +201,7 @@
     net._carry(node, after.on_time(net.now))
     since = net.now
     net.run(net.now + 5)
-    assert net.settled() and after.me.life == before.me.life
+    assert net.settled() and after.me.generation == before.me.generation
     assert not any(event.what in ("suspected", "died", "returned") and when > since
                    for other in net.nodes.values() if other is not node for when, event in other.events)  # fmt: skip
     assert not any(m.counts["repeated"] for m in net.live())
@@ -501,7 +501,7 @@
             record, before = member.record, self.before.get(name)
             assert record.order[:2] == self.latest[name][:2]  # its own word, and the latest of it
             assert record.order >= self.latest[name]  # or what was made of it here: later, never earlier
-            if before is not None and before.life == record.life:
+            if before is not None and before.generation == record.generation:
                 assert record.order >= before.order
             if before is not None and before.state >= State.DEAD and record.state < State.DEAD:
                 assert record.order[:2] > before.order[:2]
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -277,7 +277,7 @@
 
 def peer_of(record: Record) -> Peer:
     """A member of the view as the machine knows it."""
-    return Peer(record.name, record.address, record.zone, record.life, record.state == State.ALIVE)
+    return Peer(record.name, record.address, record.zone, record.generation, record.state == State.ALIVE)
 
 
 def peers_of(fleet: FleetCarrier) -> list[Peer]:
--- a/thistleshore/fleet/carrier.py
+++ b/thistleshore/fleet/carrier.py
@@ -53,12 +53,12 @@
                     self._allowed[host] = found
             return found
 
-        life, incarnation, number = int(time.time() * 1000), 0, 0
+        generation, incarnation, number = int(time.time() * 1000), 0, 0
         if before is not None and all(isinstance(before.get(key), int) for key in ("life", "incarnation", "number")):
-            life, incarnation = before["life"], before["incarnation"] + APART
+            generation, incarnation = before["life"], before["incarnation"] + APART
             number = before["number"] + NUMBERS_APART
         host, port = plan.advertise
-        me = Record(name, host, port, plan.zone, max(1, life), incarnation, int(State.ALIVE), int(service()),
+        me = Record(name, host, port, plan.zone, max(1, generation), incarnation, int(State.ALIVE), int(service()),
                     wire.NEWEST, __version__, print=fingerprint)  # fmt: skip
         now = trio.current_time()
         self.machine = Fleet(plan.name, me, plan.terms, plan.seeds, now, int.from_bytes(os.urandom(8), "big"), allowed,
@@ -107,7 +107,7 @@
     def left_here(self) -> dict[str, Any]:
         """What the next process of a hot restart goes on with."""
         me = self.machine.me
-        return {"life": me.life, "incarnation": me.incarnation, "number": self.machine.number}
+        return {"life": me.generation, "incarnation": me.incarnation, "number": self.machine.number}
 
     def on_file(self, told: Mapping[str, Any]) -> None:
         """Another file is in force: its fingerprint is told with what is sent next."""
@@ -249,7 +249,7 @@
             "fleet": machine.fleet, "self": machine.me.name, "digest": f"{machine.digest:08x}",
             "majority": machine.majority,
             "members": [
-                {"name": record.name, "zone": record.zone, "life": record.life,
+                {"name": record.name, "zone": record.zone, "life": record.generation,
                  "state": State(record.state).name.lower(), "service": Service(record.service).name.lower(),
                  "address": address_text(record.address), "since": round(time.time() - (now - since), 3),
                  "incarnation": record.incarnation}
@@ -261,7 +261,7 @@
         """Beside the view: whether it is settled, and how this instance fares."""
         machine = self.machine
         return {
-            "fleet": machine.fleet, "self": machine.me.name, "life": machine.me.life,
+            "fleet": machine.fleet, "self": machine.me.name, "life": machine.me.generation,
             "takes_part": not machine.quiet and not machine.leaving,
             "name_taken_by": None if machine.rival is None else address_text(machine.rival.address),
             "digest": f"{machine.digest:08x}", "settled": machine.settled, "majority": machine.majority,
--- a/thistleshore/fleet/machine.py
+++ b/thistleshore/fleet/machine.py
@@ -106,7 +106,7 @@
         # Plain numbers: enumerations are written otherwise, and checksums are made of what is written.
         self.me = msgspec.structs.replace(me, state=int(me.state), service=int(me.service))
         self.fleet, self.terms, self.allowed = fleet, terms, allowed
-        self.born_life = me.life
+        self.first_generation = me.generation
         self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != me.address))
         self.members: dict[str, Member] = {}
         self._troubled: dict[str, Member] = {}  # those of them that are not alive: few, where there are many
@@ -159,7 +159,7 @@
     def digest(self) -> int:
         """Of the view: who is in it, of which life, and how each serves.  The same at all members once settled."""
         if self._digest is None:
-            rows = sorted((record.name, record.life, record.service) for record in self.living())
+            rows = sorted((record.name, record.generation, record.service) for record in self.living())
             self._digest = crc32(repr(rows).encode())
         return self._digest
 
@@ -249,18 +249,18 @@
             return self._ignore("network")  # it would have us send there
         known = self.members.get(sender.name)
         if known is not None and not message.quiet:
-            if sender.life < known.record.life:
+            if sender.generation < known.record.generation:
                 # Also a repeat of an earlier life's datagram.  A process whose clock was set back learns of it here.
                 self._send(sender, wire.RECORDS, records=(known.record,))
                 return self._ignore("earlier_life")
-            if sender.life == known.record.life and not self._fresh(known, message.number):
+            if sender.generation == known.record.generation and not self._fresh(known, message.number):
                 return self._ignore("repeated")
         self.counts["heard"] += 1
         self.heard_any = True
         if not message.quiet:
             self._take(sender, now)
             if (member := self.members.get(sender.name)) is not None:
-                if member.record.life == sender.life:
+                if member.record.generation == sender.generation:
                     member.digest, member.known = message.digest, message.known
                     self._fresh(member, message.number)
         for record in message.records:
@@ -270,7 +270,7 @@
             self._send_to(
                 sender.address,
                 sender.name,
-                sender.life,
+                sender.generation,
                 min(sender.wire, wire.NEWEST),
                 wire.RECORDS,
                 records=(known.record,),
@@ -415,7 +415,7 @@
     def _same_name(self, message: wire.Message, now: float) -> None:
         """A datagram of a process under our own name."""
         sender = message.sender
-        if sender.address == self.me.address or sender.life == self.me.life:
+        if sender.address == self.me.address or sender.generation == self.me.generation:
             self._ignore("own")  # one's own, repeated, or of an earlier life at this address
             return
         if not self.allowed(sender.host):
@@ -423,17 +423,19 @@
             return
         if message.kind == wire.PING:
             # Who is younger stays out.  One that is out already has seen us, and asks whether we live.
-            self._contested(sender, out=not message.quiet and sender.life < self.me.life and not self.quiet, now=now)
+            self._contested(
+                sender, out=not message.quiet and sender.generation < self.me.generation and not self.quiet, now=now
+            )
             self._send(sender, wire.ACK, probe=message.probe)
         elif message.kind == wire.ACK and self._challenge is not None and message.probe == self._challenge[0]:
             self._challenge = None
             if message.quiet:
                 # It stays out: our record has to win over what it told before.
                 self._contested(sender, out=False, now=now)
-                if sender.life > self.me.life:
-                    self._live_again(sender.life + 1, now)
+                if sender.generation > self.me.generation:
+                    self._start_generation(sender.generation + 1, now)
             else:
-                self._contested(sender, out=self.quiet or sender.life < self.me.life, now=now)
+                self._contested(sender, out=self.quiet or sender.generation < self.me.generation, now=now)
                 self.rival = sender if self.quiet else None
 
     def _contested(self, other: Record, out: bool, now: float) -> None:
@@ -450,7 +452,9 @@
         if self._challenge is None:
             number = self._next_number()
             self._challenge = (number, other, now + 2 * self.terms.answer, tries - 1)
-            self._send_to(other.address, other.name, other.life, min(other.wire, wire.NEWEST), wire.PING, probe=number)
+            self._send_to(
+                other.address, other.name, other.generation, min(other.wire, wire.NEWEST), wire.PING, probe=number
+            )
 
     def _challenge_unanswered(self, now: float) -> None:
         assert self._challenge is not None
@@ -463,14 +467,14 @@
         if self.rival is not None:
             self._event("freed", other)
         self.rival = None
-        if other.life >= self.me.life:
-            self._live_again(other.life + 1, now)
+        if other.generation >= self.me.generation:
+            self._start_generation(other.generation + 1, now)
         if self.quiet:
             self._join(now)
 
-    def _live_again(self, life: int, now: float) -> None:
+    def _start_generation(self, generation: int, now: float) -> None:
         """A greater life: our clock was set back, or another was told of under our name."""
-        self.me = msgspec.structs.replace(self.me, life=life, incarnation=0)
+        self.me = msgspec.structs.replace(self.me, generation=generation, incarnation=0)
         self.number = 0
         self._told_anew(now)
 
@@ -493,10 +497,10 @@
         me = self.me
         if self.leaving:
             return
-        if record.life == me.life and self.quiet and not self._goes_on:
+        if record.generation == me.generation and self.quiet and not self._goes_on:
             # Nobody can know of a life that has not joined: an earlier process had it, and a clock was set back.
-            self._live_again(me.life + 1, now)
-        elif record.life == me.life:
+            self._start_generation(me.generation + 1, now)
+        elif record.generation == me.generation:
             if record.address != me.address and not self.quiet:
                 self._challenge_rival(record, now)
             if record.state != State.ALIVE and record.incarnation >= me.incarnation and not self.quiet:
@@ -509,16 +513,16 @@
                 self.me = msgspec.structs.replace(me, incarnation=record.incarnation)
                 self._say(now)
         else:
-            self._another_life(record, now)
+            self._on_other_generation(record, now)
 
-    def _another_life(self, record: Record, now: float) -> None:
+    def _on_other_generation(self, record: Record, now: float) -> None:
         """What others say of a life under this name that is not ours."""
         me = self.me
         gone = record.state >= State.DEAD or record.address == me.address
         if gone:
-            if record.life > me.life:
-                self._live_again(record.life + 1, now)
-        elif record.life > me.life or self.quiet:
+            if record.generation > me.generation:
+                self._start_generation(record.generation + 1, now)
+        elif record.generation > me.generation or self.quiet:
             self._challenge_rival(record, now)
 
     # -- probes --------------------------------------------------------------------------------------
@@ -653,7 +657,7 @@
             self._troubled.pop(record.name, None)
         else:
             self._troubled[record.name] = member
-        if record.life != before.life:
+        if record.generation != before.generation:
             member.digest = member.newest = -1
             member.seen_numbers = 0
         if record.state == State.SUSPECT:
@@ -666,7 +670,7 @@
             member.call_gap = self.terms.call
             # One that has left wanted to: it is not called.
             member.call_at = now + member.call_gap if record.state == State.DEAD else inf
-        if record.state != before.state or record.life != before.life:
+        if record.state != before.state or record.generation != before.generation:
             member.since = now
         self._told_of(record, now)
         what = self._what(before, record)
@@ -676,12 +680,12 @@
     @staticmethod
     def _what(before: Record, after: Record) -> str:
         if after.state == State.ALIVE:
-            if before.state >= State.DEAD or after.life != before.life:
+            if before.state >= State.DEAD or after.generation != before.generation:
                 return "returned"
             if before.state == State.SUSPECT:
                 return "refuted"
             return "changed" if after.service != before.service else ""
-        if after.state == before.state and after.life == before.life:
+        if after.state == before.state and after.generation == before.generation:
             return ""
         return {State.SUSPECT: "suspected", State.DEAD: "died", State.LEFT: "left"}[State(after.state)]
 
@@ -769,12 +773,20 @@
         """Send to a member; how many of the records went along.  `only`: these, and no gossip behind them."""
         first = [record for record in records if record.name != to.name]
         member = self.members.get(to.name)
-        if member is not None and (member.record.state != State.ALIVE or member.record.life != to.life):
+        if member is not None and (member.record.state != State.ALIVE or member.record.generation != to.generation):
             first.insert(0, member.record)  # it has to hear first what is said of it, or of its name
         own = len(first)
         gossip = [] if only else self._chosen({record.name for record in first} | {to.name})
         sent = self._send_to(
-            to.address, to.name, to.life, min(to.wire, wire.NEWEST), kind, probe, target, buckets, [*first, *gossip]
+            to.address,
+            to.name,
+            to.generation,
+            min(to.wire, wire.NEWEST),
+            kind,
+            probe,
+            target,
+            buckets,
+            [*first, *gossip],
         )
         limit = GOSSIP * ceil(log2(len(self.members) + 2))
         for record in [*first, *gossip][own:sent]:
@@ -803,7 +815,7 @@
         self,
         address: Address,
         to: str,
-        life: int,
+        generation: int,
         version: int,
         kind: int,
         probe: int = 0,
@@ -815,7 +827,7 @@
         message = wire.Message(
             self.fleet,
             to,
-            life,
+            generation,
             self.quiet,
             kind,
             self.number,
@@ -833,7 +845,7 @@
         return held
 
     def _event(self, what: str, record: Record, told: str = "") -> None:
-        found = Changed(what, record.name, record.life, record.incarnation, told)
+        found = Changed(what, record.name, record.generation, record.incarnation, told)
         self._told_number += 1
         self.told.append((self._told_number, self.changed_at, found))
         self._out.append(found)
--- a/thistleshore/fleet/model.py
+++ b/thistleshore/fleet/model.py
@@ -96,7 +96,7 @@
     host: str
     port: int
     zone: str
-    life: int
+    generation: int
     incarnation: int
     state: int
     service: int
@@ -112,7 +112,7 @@
     @property
     def order(self) -> tuple[int, int, int]:
         """What is said later wins."""
-        return self.life, self.incarnation, self.state
+        return self.generation, self.incarnation, self.state
 
     def sound(self) -> bool:
         """Whether its values are within their bounds."""
@@ -126,7 +126,7 @@
             and len(self.print) <= 16
             and 0 < len(self.host) <= 64
             and 0 < self.port < 65536
-            and 0 < self.life < 1 << 63
+            and 0 < self.generation < 1 << 63
             and 0 <= self.incarnation < 1 << 32
             and 0 < self.wire < 256
             and 0 <= self.state <= State.LEFT
--- a/thistleshore/fleet/wire.py
+++ b/thistleshore/fleet/wire.py
@@ -34,7 +34,7 @@
 
     fleet: str
     to: str  # "": whoever is at the address
-    to_life: int  # 0: of whatever life
+    to_generation: int  # 0: of whatever life
     quiet: bool  # its sender is not a member: it is answered, and not taken in
     kind: int
     number: int  # of this sender's life; none counts twice
@@ -52,7 +52,7 @@
 
     fleet: str
     to: str
-    to_life: int
+    to_generation: int
     quiet: bool
     kind: int
     number: int
@@ -98,7 +98,7 @@
         _Written(
             message.fleet,
             message.to,
-            message.to_life,
+            message.to_generation,
             message.quiet,
             message.kind,
             message.number,
--- a/thistleshore/releases/standing.py
+++ b/thistleshore/releases/standing.py
@@ -17,7 +17,7 @@
     for record in [fleet.me, *(member.record for member in fleet.members.values())]:
         if record.state == State.LEFT and record.by:
             continue  # an operator said that it will not come back
-        lives[record.name] = record.life
+        lives[record.name] = record.generation
         if record.state != State.ALIVE or record.service != Service.READY:
             down.add(record.name)
     hosts: dict[str, tuple[str, str]] = {}
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -62,7 +62,7 @@
     releases = components.releases = Releases(
         plan=plan.releases,
         name=machine.me.name,
-        life=machine.me.life,
+        life=machine.me.generation,
         standing=lambda: standing(machine, broker, trio.current_time()),
         ban=control.ban,
         clear=control.is_clear,
