--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from benchmarks.capacity.hollow import PUSH_SUFFIX
 from benchmarks.capacity.files import VOTERS, Setup, write_files
+from benchmarks.capacity.hollow import PUSH_SUFFIX
 from benchmarks.capacity.model import Point, Series
 from benchmarks.capacity.processes import HollowGroup, Window, ending, watch
 from benchmarks.capacity.slopes import (
--- a/benchmarks/capacity/fleets.py
+++ b/benchmarks/capacity/fleets.py
@@ -12,8 +12,8 @@
 from benchmarks.capacity.slopes import (
     KB_A_MB,
     LOOK,
-    Pace,
     SETTLE_MOST,
+    Pace,
     all_follow,
     each_of,
     grouped,
--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -6,12 +6,12 @@
 from collections.abc import Sequence
 from random import Random
 
-from benchmarks.platform import size
 from benchmarks.capacity.files import REGIONS, ZONES
 from benchmarks.capacity.model import Point, Series
 from benchmarks.capacity.slopes import load_average
 from benchmarks.fleet.net import Net
 from benchmarks.fleet.virtual import made, settling
+from benchmarks.platform import size
 from thistleshore.contracts import Ledger
 from thistleshore.contracts.model import Agreements, ContractTerms, MemberTerms
 from thistleshore.fleet import Fleet, Terms
--- a/benchmarks/capacity/runs.py
+++ b/benchmarks/capacity/runs.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
+import os
+import platform
+import sys
 import tempfile
 import time
 from collections.abc import Callable, Mapping, Sequence
 from datetime import UTC, datetime
 from pathlib import Path
-import os
-import platform
-import sys
 
 import msgspec
 
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.model import DELIVERED_LEAST, Point, Series
 from benchmarks.capacity.processes import HollowGroup, Window, ending, watch
 from thistleshore.contracts.exchange import Terms as LeaseTerms
-from thistleshore.releases.carrier import IDLE_LOOK as REGISTER_LOOK
+from thistleshore.releases.carrier import IDLE_POLL_INTERVAL as REGISTER_LOOK
 from thistleshore.rig.hollow import Part
 
 LEASES_EACH = 4  # hollow dispatchers of a process while leases are measured: many keep a core busy
--- a/benchmarks/checks/configuration.py
+++ b/benchmarks/checks/configuration.py
@@ -22,7 +22,6 @@
 from collections import Counter
 from typing import Any
 
-
 from benchmarks.checks.command import FLAWED, Findings, run
 from benchmarks.checks.register import VOTERS, Story, explore, walk
 from thistleshore.configuration import agreement
--- a/benchmarks/checks/register.py
+++ b/benchmarks/checks/register.py
@@ -27,11 +27,11 @@
 
 from benchmarks.checks.command import FLAWED, Findings, run
 from thistleshore.releases import places
-from thistleshore.releases.model import Limits, Refusal, Standing, Value
-from thistleshore.releases.register import Accept, Acceptor, Held, Prepare, Round
+from thistleshore.releases.model import FleetObservation, Limits, Refusal, Value
+from thistleshore.releases.register import Accept, Acceptor, Prepare, Round, VoterState
 
 VOTERS = ("a", "b", "c")
-SEEN = Standing({"x": 1, "y": 1}, frozenset(), {}, frozenset())
+SEEN = FleetObservation({"x": 1, "y": 1}, frozenset(), {}, frozenset())
 FIRST = Value(1, VOTERS, Limits(dispatchers=1))
 ROUNDS_MOST = 3  # in one story of the exploration
 
@@ -51,9 +51,9 @@
     def __init__(self, flaw: str) -> None:
         self.flaw = flaw
         self.acceptors: dict[str, Acceptor | None] = {
-            name: Acceptor(Held(7, name, (1, ""), (1, ""), FIRST, 1)) for name in VOTERS
+            name: Acceptor(VoterState(7, name, (1, ""), (1, ""), FIRST, 1)) for name in VOTERS
         }
-        self.synced = {name: Held(7, name, (1, ""), (1, ""), FIRST, 1) for name in VOTERS}
+        self.synced = {name: VoterState(7, name, (1, ""), (1, ""), FIRST, 1) for name in VOTERS}
         self.rounds: list[Round] = []
         self.floors: list[int] = []
         self.over: list[bool] = []
@@ -67,15 +67,15 @@
             # a and b leave the voters at once, and c alone says so; then both sides give a place.
             if number == 0:
                 return lambda v: msgspec.structs.replace(v, number=v.number + 1, voters=("c",))
-            return lambda v: places.ask(v, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
+            return lambda v: places.grant(v, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
         if self.flaw == "freed by time" and number:
 
             def late(value: Value) -> Value | Refusal:
                 kept = msgspec.structs.replace(value, places=())
-                return places.ask(kept, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
+                return places.grant(kept, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
 
             return late
-        return lambda v: places.ask(v, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
+        return lambda v: places.grant(v, "dispatcher", "xy"[number % 2], "", name, SEEN, 0.0)
 
     def begin(self) -> None:
         number = len(self.rounds)
@@ -109,7 +109,7 @@
         if disk:
             self.lost += 1
             # Without its file a voter does not vote; the flaw: it goes on as a new one.
-            blank = Held(7, voter, value=FIRST, accepted=(1, ""))
+            blank = VoterState(7, voter, value=FIRST, accepted=(1, ""))
             self.acceptors[voter] = Acceptor(blank) if self.flaw == "a lost disk votes" else None
         elif self.acceptors[voter] is not None:
             self.acceptors[voter] = Acceptor(self.synced[voter])
--- a/benchmarks/distribution/cost.py
+++ b/benchmarks/distribution/cost.py
@@ -19,8 +19,8 @@
 from benchmarks.distribution.bodies import Body
 from benchmarks.distribution.fleet import Fleet, Traffic
 from benchmarks.distribution.plan import CHANGES, DAY
-from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
+from thistleshore.distribution.machine import Distributor
 from thistleshore.distribution.model import Action, Peer, Stamp
 
 SECONDS = 120.0  # of each row
--- a/benchmarks/distribution/deaths.py
+++ b/benchmarks/distribution/deaths.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from benchmarks.distribution.fleet import Fleet
+from thistleshore.addresses import Address
 from thistleshore.distribution import wire
 from thistleshore.distribution.machine import Distributor
-from thistleshore.addresses import Address
 from thistleshore.distribution.model import Action, Apply, Send, Stamp
 
 
--- a/benchmarks/expressions/grow.py
+++ b/benchmarks/expressions/grow.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable, Sequence
 
-from thistleshore.expressions import Request, address_set
 from thistleshore.addresses import ip_number
+from thistleshore.expressions import Request, address_set
 from thistleshore.expressions.networks import AddressSet
 
 TEXTS = (
--- a/benchmarks/releases/gate_draws.py
+++ b/benchmarks/releases/gate_draws.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from thistleshore.releases.gate import Gate, Tally, Terms, Verdict
+from thistleshore.releases.gate import Gate, GateSettings, Tally, Verdict
 
 CLASSES = {"seat-search": 0.7, "ticket-issue": 0.2, "refund": 0.1}  # of the tries
 GOOD = 0.97  # share of tries that are good in quiet times
@@ -38,7 +38,7 @@
     at: np.random.Generator, rate: float, surge: bool = False, herd: bool = False, loss: float = 0.0, of: str = ""
 ) -> tuple[Verdict, int]:
     """What the gate says of one drawn wave, and after how many seconds."""
-    gate = Gate(["all", *CLASSES], Terms(), 0.0)
+    gate = Gate(["all", *CLASSES], GateSettings(), 0.0)
     begins, told = at.uniform(2, 15), None
     for second in range(1, SECONDS + 1):
         times, good = 1.0, GOOD
@@ -69,7 +69,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
     asked = parser.parse_args()
-    told: dict[str, Any] = {"draws": asked.draws, "rate": asked.rate, "error": Terms().error}
+    told: dict[str, Any] = {"draws": asked.draws, "rate": asked.rate, "error": GateSettings().error}
     for name, how in DRAWS.items():
         at = np.random.default_rng((asked.seed, len(name)))
         rows = [wave(at, asked.rate, **how) for _ in range(asked.draws)]
@@ -78,7 +78,7 @@
         if seconds:
             told[name] |= {"p50 s": seconds[len(seconds) // 2], "p99 s": seconds[len(seconds) * 99 // 100]}
     print(json.dumps(told) if asked.json else json.dumps(told, indent=1))
-    return 0 if all(told[name]["worse"] <= Terms().error for name in DRAWS if name.startswith("clean")) else 1
+    return 0 if all(told[name]["worse"] <= GateSettings().error for name in DRAWS if name.startswith("clean")) else 1
 
 
 if __name__ == "__main__":
--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -10,12 +10,46 @@
 from random import Random
 
 from oxbowarch.hedging import overdue
-from oxbowarch.interface import NEVER_RAN, Action, Cancel, Effect, Entry, Fail, Group, ListKind
-from oxbowarch.interface import Log, Note, Outcome, Places, RefusalReason, Refuse, Report, Request, Send
-from oxbowarch.interface import Settings, State, Status, Tell, Timer, Watch, WorkerId
+from oxbowarch.interface import (
+    NEVER_RAN,
+    Action,
+    Cancel,
+    Effect,
+    Entry,
+    Fail,
+    Group,
+    ListKind,
+    Log,
+    Note,
+    Outcome,
+    Places,
+    RefusalReason,
+    Refuse,
+    Report,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+    Tell,
+    Timer,
+    Watch,
+    WorkerId,
+)
 from oxbowarch.pace import SLOW_FADE, slowness
-from oxbowarch.records import Attempt, Decayed, Homes, Job, Jobs, KeyRing, MeanTable, RateTable, Smoothed
-from oxbowarch.records import Window, Worker
+from oxbowarch.records import (
+    Attempt,
+    Decayed,
+    Homes,
+    Job,
+    Jobs,
+    KeyRing,
+    MeanTable,
+    RateTable,
+    Smoothed,
+    Window,
+    Worker,
+)
 from oxbowarch.refusal import reason_of
 from oxbowarch.shunning import STRIKES_MOST, after_failure, after_rejections
 from oxbowarch.slow_start import capacity, sender_rate, warmth
--- a/oxbowarch/records.py
+++ b/oxbowarch/records.py
@@ -11,7 +11,6 @@
 from oxbowarch.interface import Entry, Request, Settings
 from oxbowarch.slow_start import SlowStartBudget
 
-
 SENDS_KEPT = 64  # times of attempts at one worker
 DOORS_KEPT = 256  # classes and tenants remembered for one worker
 
--- a/oxbowarch/wire.py
+++ b/oxbowarch/wire.py
@@ -8,12 +8,24 @@
 import json
 import math
 from collections.abc import Callable, Iterator
-from struct import Struct, error as StructError
+from struct import Struct
+from struct import error as StructError
 from typing import Any, NamedTuple
 
 from oxbowarch import interface as api
-from oxbowarch.interface import Effect, Entry, Group, JobClass, ListKind, Outcome, Report, Reports, Settings
-from oxbowarch.interface import State, Status
+from oxbowarch.interface import (
+    Effect,
+    Entry,
+    Group,
+    JobClass,
+    ListKind,
+    Outcome,
+    Report,
+    Reports,
+    Settings,
+    State,
+    Status,
+)
 
 LENGTH = Struct("<I")
 BATCH = Struct("<dI")
--- a/tests/support.py
+++ b/tests/support.py
@@ -18,7 +18,8 @@
 import pytest
 import trio
 import trio.testing
-from hypothesis import HealthCheck, settings, strategies as st
+from hypothesis import HealthCheck, settings
+from hypothesis import strategies as st
 
 from thistleshore import config
 from thistleshore.rig.ports import free_ports
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,13 +8,26 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from hypothesis import given, strategies as st
-from prometheus_client import generate_latest
+from hypothesis import given
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
+from prometheus_client import generate_latest
 
 from oxbowarch.brain import Brain
-from oxbowarch.interface import Effect, Entry, JobClass, ListKind, Outcome, Refuse, Report, Request, Send, Settings
-from oxbowarch.interface import State, Status
+from oxbowarch.interface import (
+    Effect,
+    Entry,
+    JobClass,
+    ListKind,
+    Outcome,
+    Refuse,
+    Report,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+)
 from tests.standins import HOSTS, Platform
 from tests.support import CUTS, GARBAGE, pieces, play, steady
 from thistleshore import config
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -12,8 +12,24 @@
 from oxbowarch.brain import Brain
 from oxbowarch.hedging import COPY_AFTER
 from oxbowarch.interface import (
-    Cancel, Effect, Entry, Fail, Group, JobClass, ListKind, Outcome, Refuse, Report, Reports,
-    Request, Send, Settings, State, Status, Timer, Watch,
+    Cancel,
+    Effect,
+    Entry,
+    Fail,
+    Group,
+    JobClass,
+    ListKind,
+    Outcome,
+    Refuse,
+    Report,
+    Reports,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+    Timer,
+    Watch,
 )  # fmt: skip
 from oxbowarch.pace import slowness
 from oxbowarch.records import Worker
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,6 @@
 from benchmarks.capacity import counted, figures, model, page, rows, runs
 from benchmarks.capacity.model import FEWEST_POINTS, Point, Result, Series, fit
 
-
 # The distribution of configuration is measured once a dispatcher has that part.
 MEASURED_ALWAYS = {
     "decisions",
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,9 +16,9 @@
 
 from tests.support import ROOT, free_port
 from tests.test_config import PLATFORM
+from thistleshore import config
 from thistleshore.cli import COMMANDS, commands
 from thistleshore.cli.expr import COMMANDS as EXPR
-from thistleshore import config
 from thistleshore.expressions.check import Checker
 from thistleshore.expressions.functions import REFERENCE, reference
 from thistleshore.expressions.model import request_environment
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -11,7 +11,8 @@
 import msgspec
 import pytest
 import trio
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from benchmarks.checks import configuration as checker
 from benchmarks.checks.register import explore, walk
@@ -23,8 +24,8 @@
 from thistleshore.releases.calls import ReleaseCalls
 from thistleshore.releases.carrier import NoMajority, Releases
 from thistleshore.releases.messages import Body, Deposit, Deposited, FetchBody, Install
-from thistleshore.releases.model import CONFIGURATIONS_MOST, Configuration, Limits, Refusal, Value
-from thistleshore.releases.register import Accept, Accepted, Acceptor, Held, Prepare, Promise, Round, Unable
+from thistleshore.releases.model import MAX_CONFIGURATIONS, Configuration, Limits, Refusal, Value
+from thistleshore.releases.register import Accept, Accepted, Acceptor, Prepare, Promise, Round, Unable, VoterState
 from thistleshore.releases.store import FILE
 
 VALUE = Value(1, NAMES, Limits())
@@ -93,10 +94,10 @@
     assert "version 1 by p1 (hosts)" in refused.told and "version 2 by p2 (quota)" in refused.told
     assert "no version 9" in turned_down(push(value, THREE, 9)).told
     assert taken(push(value, THREE)).configuration.number == 3  # against whichever is in force
-    for number in range(3, CONFIGURATIONS_MOST + 10):
+    for number in range(3, MAX_CONFIGURATIONS + 10):
         value = taken(push(value, b"# %d" % number, number - 1))
-    assert len(value.configuration.history) == CONFIGURATIONS_MOST
-    assert value.configuration.history[-1].number == value.configuration.number == CONFIGURATIONS_MOST + 9
+    assert len(value.configuration.history) == MAX_CONFIGURATIONS
+    assert value.configuration.history[-1].number == value.configuration.number == MAX_CONFIGURATIONS + 9
     assert "versions before 10, which are not kept any more; version 10 by" in turned_down(push(value, THREE, 0)).told
 
 
@@ -132,7 +133,7 @@
         elif what == "rollback":
             found = agreement.rollback(value, which, against, "p0", "", 0.0)
         else:
-            found = places.limit(value, Limits(dispatchers=which), "p0", 0.0)
+            found = places.set_limits(value, Limits(dispatchers=which), "p0", 0.0)
         if isinstance(found, Refusal):
             continue
         value = found
@@ -160,7 +161,7 @@
 
 def test_a_voter_accepts_no_version_whose_body_it_does_not_hold() -> None:
     value = taken(push(VALUE, ONE))
-    first = Held(7, "a", (1, ""), (1, ""), VALUE, 1)
+    first = VoterState(7, "a", (1, ""), (1, ""), VALUE, 1)
     accept = Accept(7, (2, "x"), value)
     for acceptor in (Acceptor(first), Acceptor(first, lambda digest: digest == digest_of(TWO))):
         assert acceptor.on_accept(accept) == (None, Unable("it does not hold the body of version 1"))
@@ -375,7 +376,7 @@
         tier.deaf = set()
         assert tier.holders(ONE) == {"a", "b"}
         at_c = tier.instance("c")
-        await at_c.look()
+        await at_c.poll_voters()
         with trio.move_on_after(10.0):
             await at_c._keep_current_body(tier.voters["c"])
         assert tier.holders(ONE) == set(NAMES)
@@ -389,9 +390,9 @@
     for answer in (Deposited(digest_of(ONE)), Body(digest_of(ONE), ONE), Unable("why")):
         assert messages.answers.decode(msgspec.msgpack.encode(answer)) == answer
     largest = msgspec.msgpack.encode(Body(digest_of(ONE), b"#" * BODY_MOST))
-    assert len(largest) < messages.FRAME_MOST
+    assert len(largest) < messages.MAX_FRAME_BYTES
     assert messages.questions.decode(msgspec.msgpack.encode(Prepare(7, (2, "x")))) == Prepare(7, (2, "x"))
-    begun = Install(Held(7, "a", (1, ""), (1, ""), taken(push(VALUE, ONE)), 1), False)
+    begun = Install(VoterState(7, "a", (1, ""), (1, ""), taken(push(VALUE, ONE)), 1), False)
     assert messages.questions.decode(msgspec.msgpack.encode(begun)) == begun
 
 
--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -17,15 +17,16 @@
 from tests.support import play
 from thistleshore import config
 from thistleshore.admin import codec
-from thistleshore.core.model import HostLine
 from thistleshore.configuration.applying import Applier, Held, NotApplied, NotDurable
 from thistleshore.configuration.carrier import Distribution
-from thistleshore.distribution.machine import Distributor
-from thistleshore.distribution.model import BODY_MOST, FORMAT, REASON_MOST, Apply, Peer, Stamp, Terms, digest_of
 from thistleshore.configuration.store import VERSION_FILE, VersionStore
 from thistleshore.configuration.uploads import EXPIRES, PIECES_MOST, UPLOADS_MOST, UploadError, Uploads, decompressed
+from thistleshore.core.model import HostLine
+from thistleshore.distribution.machine import Distributor
+from thistleshore.distribution.model import BODY_MOST, FORMAT, REASON_MOST, Apply, Peer, Stamp, Terms, digest_of
 from thistleshore.fleet.carrier import Carrier
-from thistleshore.fleet.model import Record, Service, State, Terms as FleetTerms
+from thistleshore.fleet.model import Record, Service, State
+from thistleshore.fleet.model import Terms as FleetTerms
 from thistleshore.fleet.plan import FleetPlan
 from thistleshore.metrics import Configuration
 
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -10,7 +10,8 @@
 
 import msgspec
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from tests.support import ROOT, refused, steady
 from thistleshore import config
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -10,14 +10,31 @@
 
 import pytest
 import trio
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from benchmarks.checks import exchange as check_exchange
-from benchmarks.contracts.surge import Plan, World as Simulated, pair, service
+from benchmarks.contracts.surge import Plan, pair, service
+from benchmarks.contracts.surge import World as Simulated
 from oxbowarch.brain import Brain
-from oxbowarch.interface import Effect, Entry, Fail, JobClass, ListKind, Outcome, Refuse, Report, Reports, Request, Send
-from oxbowarch.interface import Settings, State, Status, Timer
+from oxbowarch.interface import (
+    Effect,
+    Entry,
+    Fail,
+    JobClass,
+    ListKind,
+    Outcome,
+    Refuse,
+    Report,
+    Reports,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+    Timer,
+)
 from tests.standins import Beanstalkd, Http, World
 from tests.support import ROOT, free_port, play, steady
 from thistleshore import config
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -10,15 +10,16 @@
 import msgspec
 import pytest
 import zstandard
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from benchmarks.distribution.history import Agreed, Counted, History, InForce, Reported, faults
 from benchmarks.distribution.net import FLEET, REGISTER, World, zones_of
 from tests.support import GARBAGE, steady
+from thistleshore.addresses import Address
 from thistleshore.distribution import wire
 from thistleshore.distribution.bodies import Bodies, Mismatch, decode, encode
 from thistleshore.distribution.machine import Distributor
-from thistleshore.addresses import Address
 from thistleshore.distribution.model import (
     BODY_MOST,
     NO_VERSION,
--- a/tests/test_expressions.py
+++ b/tests/test_expressions.py
@@ -7,19 +7,33 @@
 from typing import Any
 
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from benchmarks.expressions import differential
 from benchmarks.expressions.differential import compiled, same
 from benchmarks.expressions.grow import SETS, Grow
 from tests.support import steady
-from thistleshore.expressions import ExpressionError, Kind, Limits, Request, RequestError, Rule, RuleErrors, RuleSet
-from thistleshore.expressions import NetworkError, Source, address_set, request_environment, routed_environment
+from thistleshore.addresses import ip_number, ip_text
+from thistleshore.expressions import (
+    ExpressionError,
+    Kind,
+    Limits,
+    NetworkError,
+    Request,
+    RequestError,
+    Rule,
+    RuleErrors,
+    RuleSet,
+    Source,
+    address_set,
+    request_environment,
+    routed_environment,
+)
 from thistleshore.expressions.check import Checker
 from thistleshore.expressions.compiler import PrefixIndex
 from thistleshore.expressions.evaluate import evaluate
 from thistleshore.expressions.model import Node
-from thistleshore.addresses import ip_number, ip_text
 from thistleshore.expressions.patterns import PatternError, pattern
 from thistleshore.expressions.record import first_headers, from_json, normal_host, normal_path, read_query, split_target
 from thistleshore.expressions.syntax import parse
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,13 +11,29 @@
 from zlib import crc32
 
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from oxbowarch import brain as brain_module
 from oxbowarch.brain import Brain
 from oxbowarch.interface import (
-    Cancel, Effect, Entry, Fail, JobClass, ListKind, Note, Outcome, Refuse, Report, Request, Send, Settings, State,
-    Status, Tell, Timer,
+    Cancel,
+    Effect,
+    Entry,
+    Fail,
+    JobClass,
+    ListKind,
+    Note,
+    Outcome,
+    Refuse,
+    Report,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+    Tell,
+    Timer,
 )  # fmt: skip
 from oxbowarch.notes import BYTES_MOST, FAILED, LAST_FEW, Notebook, short
 from oxbowarch.records import Homes, Worker
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -13,26 +13,28 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from tests.support import ROOT, refused, steady
 from thistleshore import config
 from thistleshore.cli import commands
 from thistleshore.releases import keeping, places, waves
-from thistleshore.releases.driver import Driver, Figures, Seen
+from thistleshore.releases.driver import Driver, DriverInput, Figures
 from thistleshore.releases.faults import POINTS
-from thistleshore.releases.keeper import BACK_OFF, Child, End, Keeper, Kept, Order, Plan, Say, Start
-from thistleshore.releases.model import Limits, Refusal, Standing, Value, Version
+from thistleshore.releases.keeper import BACK_OFF, Child, End, FleetCall, Keeper, KeeperState, Order, Plan, Start
+from thistleshore.releases.model import FleetObservation, Limits, Refusal, Value, Version
 from thistleshore.releases.plan import KeepPlan
 from thistleshore.rig import checks
-from thistleshore.rig.processes import PROGRAM, Kept as KeptProcess
+from thistleshore.rig.processes import PROGRAM
+from thistleshore.rig.processes import Kept as KeptProcess
 from thistleshore.rig.rig import STARTED, Rig, open_rig
 from thistleshore.rig.truth import of
 from thistleshore.rig.world import convert
 
 NAMES = tuple(f"d{n}" for n in range(6))
 ZONES = {name: "ab"[n % 2] for n, name in enumerate(NAMES)}
-SEEN = Standing(dict.fromkeys(NAMES, 1), frozenset(), {}, frozenset())
+SEEN = FleetObservation(dict.fromkeys(NAMES, 1), frozenset(), {}, frozenset())
 V2 = Version("v2", ("new",))
 PLAN = waves.Plan(V2, waves=(1, "50%", "100%"), enough=2.0, within=20.0)
 
@@ -76,35 +78,35 @@
 def test_nothing_goes_out_after_a_halt_and_undo_goes_the_newest_way_back() -> None:
     value = begun()
     number = value.number
-    assert waves.todo(value) == ("d0",) and waves.order(value, "d0") == (V2, 0, False)
-    value = value_of(waves.give(value, number, "d0", "me", SEEN, 0.0))
+    assert waves.remaining(value) == ("d0",) and waves.order(value, "d0") == (V2, 0, False)
+    value = value_of(waves.grant(value, number, "d0", "me", SEEN, 0.0))
     place = value.place("dispatcher", "d0")
     assert place is not None and waves.order(value, "d0") == (V2, place.number, False)
-    halted = value_of(waves.turn(value, number, "halted", "wait", "me", 0.0))
+    halted = value_of(waves.change_state(value, number, "halted", "wait", "me", 0.0))
     assert isinstance(places.begin(halted, "dispatcher", "d0", place.number, "d0", 0.0), Refusal)
-    assert waves.target(halted, "d0") == "" and not waves.todo(halted)
-    assert isinstance(waves.give(halted, number, "d0", "me", SEEN, 0.0), Refusal)
+    assert waves.target(halted, "d0") == "" and not waves.remaining(halted)
+    assert isinstance(waves.grant(halted, number, "d0", "me", SEEN, 0.0), Refusal)
     assert isinstance(waves.start(value, PLAN, ZONES, "me", 0.0), Refusal)
-    value = value_of(waves.turn(halted, number, "resume", "", "me", 0.0))
+    value = value_of(waves.change_state(halted, number, "resume", "", "me", 0.0))
     for name in ("d0", "d2", "d4"):
         if name == "d2":
             value = value_of(waves.next_wave(value, number, 0, "", "me", 0.0))
             assert isinstance(waves.next_wave(value, number, 0, "", "other", 0.0), Refusal)  # once
-        value = value_of(waves.give(value, number, name, "me", SEEN, 0.0))
+        value = value_of(waves.grant(value, number, name, "me", SEEN, 0.0))
         value = value_of(waves.arrived(value, name, "v2", name, 0.0))
         assert not value.places
-    value = value_of(waves.turn(value, number, "undoing", "worse", "me", 0.0))
-    assert waves.todo(value) == ("d4", "d2") and waves.target(value, "d4") == ""
+    value = value_of(waves.change_state(value, number, "undoing", "worse", "me", 0.0))
+    assert waves.remaining(value) == ("d4", "d2") and waves.target(value, "d4") == ""
     for name in ("d4", "d2", "d0"):
-        assert name in waves.todo(value)
+        assert name in waves.remaining(value)
         value = value_of(waves.arrived(value, name, "", name, 0.0))
-    assert not waves.todo(value)
-    assert value_of(waves.turn(value, number, "undone", "", "me", 0.0)).release.state == "undone"  # type: ignore[union-attr]
+    assert not waves.remaining(value)
+    assert value_of(waves.change_state(value, number, "undone", "", "me", 0.0)).release.state == "undone"  # type: ignore[union-attr]
 
 
 def test_one_that_fails_halts_the_release_and_gives_its_place_back() -> None:
     value = begun()
-    value = value_of(waves.give(value, value.number, "d0", "me", SEEN, 0.0))
+    value = value_of(waves.grant(value, value.number, "d0", "me", SEEN, 0.0))
     value = value_of(waves.failed(value, "d0", "", "it ended with status 9", "d0", 0.0))
     assert value.release is not None and value.release.state == "halted" and "status 9" in value.release.told
     assert not value.places and value.runs == {"d0": ""}
@@ -135,7 +137,7 @@
             row[1] += round(40 * self.good(version, self.now))
             count = (row[0], row[1], row[0] - row[1], row[1], row[1])
             figures.append(Figures(name, hash(version) & 1, version, {"all": count}))
-        seen = Seen(SEEN._replace(dispatchers_down=self.down), self.settled, True, figures)
+        seen = DriverInput(SEEN._replace(dispatchers_down=self.down), self.settled, True, figures)
         step = self.driver.on_look(self.value, seen, self.now)
         if step is not None:
             self.done.append(step.told)
@@ -168,7 +170,7 @@
     )
     assert fleet.play(15) == "halted" and fleet.value.runs["d0"] == "v2"
     number = fleet.value.release.number  # type: ignore[union-attr]
-    fleet.value = value_of(waves.turn(fleet.value, number, "resume", "mended", "me", fleet.now))
+    fleet.value = value_of(waves.change_state(fleet.value, number, "resume", "mended", "me", fleet.now))
     assert fleet.play(120) == "done"
 
 
@@ -200,10 +202,10 @@
 class Machine:
     """A keeper with processes that do as they are told."""
 
-    def __init__(self, kept: Kept | None = None, alive: frozenset[int] = frozenset()) -> None:
+    def __init__(self, kept: KeeperState | None = None, alive: frozenset[int] = frozenset()) -> None:
         self.now, self.pids = 0.0, iter(range(100, 999))
         self.keeper = Keeper(Plan(crashes=3, trial=5.0), kept, alive, self.now)
-        self.said: list[Say] = []
+        self.said: list[FleetCall] = []
         self.ended: list[End] = []
 
     def do(self, actions: list[Any], answer: str = "done") -> None:
@@ -211,7 +213,7 @@
             if isinstance(action, Start):
                 made = Child(action.child.version, next(self.pids), 1)
                 self.do(self.keeper.on_started(made, action.beside, self.now))
-            elif isinstance(action, Say):
+            elif isinstance(action, FleetCall):
                 self.said.append(action)
                 self.do(self.keeper.on_said(action, answer, self.now), answer)
             else:
@@ -237,7 +239,7 @@
     machine.order(V2, 0)
     assert machine.keeper.kept.phase == "alone"  # without a place nothing is begun
     machine.order(V2)
-    assert machine.said[-1] == Say("takes", ("7",)) and machine.keeper.kept.phase == "beside"
+    assert machine.said[-1] == FleetCall("takes", ("7",)) and machine.keeper.kept.phase == "beside"
     machine.do(machine.keeper.on_ready(101, 0.0))
     assert machine.keeper.kept.phase == "trial"
     return machine
@@ -248,8 +250,8 @@
     machine.wait(5.0)
     assert machine.ended == [End(100)] and machine.keeper.kept.phase == "ending"
     machine.gone(100, 0)
-    assert machine.keeper.kept == Kept(Child(V2, 101, 1), None, "alone")
-    assert machine.said[-1] == Say("arrived", ("-v2",))
+    assert machine.keeper.kept == KeeperState(Child(V2, 101, 1), None, "alone")
+    assert machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
 def test_a_newcomer_that_fails_leaves_the_one_before_serving() -> None:
@@ -263,10 +265,10 @@
     machine.wait(15.0)
     assert machine.ended[-1] == End(101, hard=True)
     machine.gone(101, -9)
-    assert machine.said[-1] == Say("arrived", ("-",))
+    assert machine.said[-1] == FleetCall("arrived", ("-",))
     machine = midway()
     machine.gone(100)  # the one before dies: the newcomer serves already
-    assert machine.keeper.kept.serving.pid == 101 and machine.said[-1] == Say("arrived", ("-v2",))
+    assert machine.keeper.kept.serving.pid == 101 and machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
 def test_one_that_is_not_ready_in_time_is_ended() -> None:
@@ -317,7 +319,7 @@
 )
 def test_the_next_keeper_goes_on_from_what_lives(phase: Any, alive: set[int], serves: int, word: str) -> None:
     newcomer = None if phase == "alone" else Child(V2, 2, 1)
-    machine = Machine(Kept(Child(None, 1, 1), newcomer, phase), frozenset(alive))
+    machine = Machine(KeeperState(Child(None, 1, 1), newcomer, phase), frozenset(alive))
     assert machine.keeper.kept.serving.pid == serves
     if serves:
         machine.wait(2.0)
@@ -383,9 +385,9 @@
 
 
 def test_a_process_is_known_by_its_birth_and_a_spoilt_state_is_told(tmp_path: Path) -> None:
-    here = Child(None, os.getpid(), keeping.born(os.getpid()))
-    assert keeping.lives(here) and not keeping.lives(msgspec.structs.replace(here, born=here.born + 1))
-    assert not keeping.lives(Child(None)) and keeping.read(tmp_path) is None
+    here = Child(None, os.getpid(), keeping.start_ticks(os.getpid()))
+    assert keeping.is_running(here) and not keeping.is_running(msgspec.structs.replace(here, born=here.born + 1))
+    assert not keeping.is_running(Child(None)) and keeping.read(tmp_path) is None
     (tmp_path / keeping.FILE).write_text("{")
     with pytest.raises(ValueError, match=keeping.FILE):
         keeping.read(tmp_path)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,8 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from tests.support import ROOT, Lines, free_port, play, steady
 from thistleshore.cli import commands
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -8,9 +8,11 @@
 import h11
 import pytest
 import trio
-from hypothesis import example, given, strategies as st
+from hypothesis import example, given
+from hypothesis import strategies as st
 
 from oxbowarch.interface import ListKind, Report, State, Status
+from tests.support import CUTS, GARBAGE, PAUSE, commands, pieces, play, socket_pair, steady, talk
 from thistleshore.beanstalkd.codec import (
     BAD_FORMAT,
     EXPECTED_CRLF,
@@ -26,7 +28,6 @@
 from thistleshore.platform.downstream import Downstream
 from thistleshore.platform.start_times import at_epoch
 from thistleshore.platform.upstream import Upstreams, Ways
-from tests.support import CUTS, GARBAGE, PAUSE, commands, pieces, play, socket_pair, steady, talk
 
 NAMES = messages.ListNames({"a": 0, "b": 1}, {"m2": 0})
 ROUTES = messages.Routes({"render": 0}, [5.0], {"acme": 0})
--- a/tests/test_register_following.py
+++ b/tests/test_register_following.py
@@ -11,13 +11,20 @@
 from tests.tier import Tier, on_tier
 from thistleshore.releases import places, waves
 from thistleshore.releases.calls import ReleaseCalls
-from thistleshore.releases.carrier import ANSWER, FRESH, IDLE_LOOK, LOOK, REPORT_EVERY, Releases
+from thistleshore.releases.carrier import (
+    ANSWER_TIMEOUT,
+    IDLE_POLL_INTERVAL,
+    MAJORITY_VALIDITY,
+    POLL_INTERVAL,
+    REPORT_INTERVAL,
+    Releases,
+)
 from thistleshore.releases.messages import Known, Learn
-from thistleshore.releases.model import Limits, Refusal, Standing, Value, Version
-from thistleshore.releases.register import NONE
-from thistleshore.releases.voter import REPORT_KEPT
+from thistleshore.releases.model import FleetObservation, Limits, Refusal, Value, Version
+from thistleshore.releases.register import NO_BALLOT
+from thistleshore.releases.voter import REPORT_LIFETIME
 
-SEEN = Standing({"x": 1, "y": 1}, frozenset(), {"h": ("s", "z")}, frozenset())
+SEEN = FleetObservation({"x": 1, "y": 1}, frozenset(), {"h": ("s", "z")}, frozenset())
 
 
 class Following:
@@ -41,18 +48,18 @@
     async def look(self) -> tuple[list[Learn], list[Known]]:
         """One look, with what it asked and was answered."""
         self.asked, self.answers = [], []
-        await self.this.look()
+        await self.this.poll_voters()
         return self.asked, self.answers
 
 
 async def limited_to(this: Releases, dispatchers: int) -> Value:
-    found = await this.change(lambda value: places.limit(value, Limits(dispatchers), this.name, 0.0))
+    found = await this.change(lambda value: places.set_limits(value, Limits(dispatchers), this.name, 0.0))
     assert isinstance(found, Value)
     return found
 
 
 async def host_out(this: Releases) -> Value:
-    found = await this.change(lambda value: places.ask(value, "host", "h", "why", this.name, SEEN, 0.0))
+    found = await this.change(lambda value: places.grant(value, "host", "h", "why", this.name, SEEN, 0.0))
     assert isinstance(found, Value)
     return found
 
@@ -100,7 +107,7 @@
         )
         held = voter.answer(older, 0.0)
         assert isinstance(held, Known) and held.value is not None and not held.unchanged
-        assert (older.register, older.holds, older.wants_reports) == (0, NONE, True)
+        assert (older.register, older.holds, older.wants_reports) == (0, NO_BALLOT, True)
         same = voter.answer(Learn(register=held.register, holds=held.accepted), 0.0)
         other = voter.answer(Learn(register=held.register + 1, holds=held.accepted), 0.0)
         assert isinstance(same, Known) and same.unchanged and same.value is None
@@ -118,7 +125,7 @@
         assert not any(answer.reports for answer in answers)
         asked, _ = await following.look()
         assert not any(question.report for question in asked)  # nobody needs it so soon
-        await trio.sleep(REPORT_EVERY)
+        await trio.sleep(REPORT_INTERVAL)
         asked, _ = await following.look()
         assert all(question.report is not None for question in asked)
         await host_out(begun)
@@ -140,25 +147,25 @@
             found = [this._look_pause() for _ in range(200)]
             return min(found), max(found)
 
-        assert pauses()[0] >= 0.75 * IDLE_LOOK  # no voter has answered yet: many would ask in vain at once
-        await this.look()
-        assert pauses()[1] <= 1.25 * LOOK  # not acted on yet
+        assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL  # no voter has answered yet: many would ask in vain at once
+        await this.poll_voters()
+        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # not acted on yet
         this.applied = this.known.number if this.known is not None else 0
-        assert pauses()[0] >= 0.75 * IDLE_LOOK
+        assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL
         this.voter = tier.voters["a"]
-        assert pauses()[1] <= 1.25 * LOOK  # a voter tells the fleet of what it learns
+        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # a voter tells the fleet of what it learns
         this.voter = None
         value = await host_out(begun)
-        await this.look()
+        await this.poll_voters()
         this.applied = value.number
-        assert pauses()[1] <= 1.25 * LOOK  # somebody is out
+        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # somebody is out
 
     on_tier(scenario, tmp_path)
 
 
 def test_what_was_said_counts_until_the_next_idle_look_is_answered() -> None:
-    assert FRESH > 1.25 * IDLE_LOOK + ANSWER
-    assert REPORT_KEPT > REPORT_EVERY + 1.25 * IDLE_LOOK + ANSWER
+    assert MAJORITY_VALIDITY > 1.25 * IDLE_POLL_INTERVAL + ANSWER_TIMEOUT
+    assert REPORT_LIFETIME > REPORT_INTERVAL + 1.25 * IDLE_POLL_INTERVAL + ANSWER_TIMEOUT
 
 
 def with_begun_release(value: Value) -> Value | Refusal:
@@ -167,7 +174,7 @@
         value, waves.Plan(Version("v2"), waves=("100%",)), {"x": "a", "y": "a"}, "x", 0.0
     )
     for change in (
-        lambda now: waves.give(now, now.release.number, "x", "x", SEEN, 0.0),
+        lambda now: waves.grant(now, now.release.number, "x", "x", SEEN, 0.0),
         lambda now: places.begin(now, "dispatcher", "x", now.place("dispatcher", "x").number, "x", 0.0),
     ):
         assert isinstance(found, Value), found
@@ -182,10 +189,10 @@
         this = await tier.begin()
         assert isinstance(await this.change(with_begun_release), Value)
         this.life, this.ready = 2, lambda: True  # it was started anew
-        await this.look()
-        await this.act()
+        await this.poll_voters()
+        await this.apply()
         assert this.known is not None and this.known.place("dispatcher", "x") is not None
-        given = waves.give(this.known, this.known.release.number, "y", "y", SEEN, 0.0)  # type: ignore[union-attr]
+        given = waves.grant(this.known, this.known.release.number, "y", "y", SEEN, 0.0)  # type: ignore[union-attr]
         assert isinstance(given, Refusal) and given.out == ("x",)
         assert (await ReleaseCalls(this).on_call("failed", ("-", "all", "of", "it", "was", "gone")))["status"] == "done"
         release = this.known.release
@@ -197,10 +204,10 @@
 def test_another_place_is_freed_once_its_holder_serves_again(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
-        await this.change(lambda value: places.ask(value, "dispatcher", "x", "why", "x", SEEN, 0.0))
+        await this.change(lambda value: places.grant(value, "dispatcher", "x", "why", "x", SEEN, 0.0))
         this.life, this.ready = 2, lambda: True
-        await this.look()
-        await this.act()
+        await this.poll_voters()
+        await this.apply()
         assert this.known is not None and not this.known.places
 
     on_tier(scenario, tmp_path)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -12,7 +12,8 @@
 import msgspec
 import pytest
 import trio
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from benchmarks.checks import register as check_register
 from tests.support import ROOT, play, refused, steady
@@ -20,11 +21,11 @@
 from thistleshore.releases import places
 from thistleshore.releases.calls import ReleaseCalls
 from thistleshore.releases.carrier import Releases
-from thistleshore.releases.gate import Gate, Tally, Terms as GateTerms, Verdict
+from thistleshore.releases.gate import Gate, GateSettings, Tally, Verdict
 from thistleshore.releases.messages import Install
-from thistleshore.releases.model import Limits, Refusal, Standing, Value
+from thistleshore.releases.model import FleetObservation, Limits, Refusal, Value
 from thistleshore.releases.plan import ReleasesPlan
-from thistleshore.releases.register import Accept, Acceptor, Held, Prepare, Promise, Round, Unable
+from thistleshore.releases.register import Accept, Acceptor, Prepare, Promise, Round, Unable, VoterState
 from thistleshore.releases.store import FILE, Store, Unusable
 from thistleshore.releases.voter import Voter
 from thistleshore.rig import checks
@@ -34,7 +35,7 @@
 
 VALUE = Value(1, ("a", "b", "c"), Limits(dispatchers=1, hosts="20%", hosts_a_zone=1))
 NONE = frozenset[str]()
-SEEN = Standing({f"d{n}": 1 for n in range(5)}, NONE, {f"h{n}": ("s", f"z{n % 2}") for n in range(10)}, NONE)
+SEEN = FleetObservation({f"d{n}": 1 for n in range(5)}, NONE, {f"h{n}": ("s", f"z{n % 2}") for n in range(10)}, NONE)
 
 
 def taken(value: Value | Refusal) -> Value:
@@ -42,8 +43,8 @@
     return value
 
 
-def ask(value: Value, kind: Any, name: str, seen: Standing = SEEN) -> Value | Refusal:
-    return places.ask(value, kind, name, "why", "d0", seen, 0.0)
+def ask(value: Value, kind: Any, name: str, seen: FleetObservation = SEEN) -> Value | Refusal:
+    return places.grant(value, kind, name, "why", "d0", seen, 0.0)
 
 
 def test_a_place_is_given_while_the_limit_holds_and_a_refusal_names_who_is_out() -> None:
@@ -67,9 +68,9 @@
 
 
 def test_a_place_is_freed_by_its_return_alone_and_a_lowered_limit_calls_nobody_back() -> None:
-    value = taken(places.limit(VALUE, Limits(dispatchers=2), "d0", 0.0))
+    value = taken(places.set_limits(VALUE, Limits(dispatchers=2), "d0", 0.0))
     value = taken(ask(taken(ask(value, "dispatcher", "d1")), "dispatcher", "d2"))
-    value = taken(places.limit(value, Limits(dispatchers=1), "d0", 0.0))
+    value = taken(places.set_limits(value, Limits(dispatchers=1), "d0", 0.0))
     assert len(value.places) == 2 and isinstance(ask(value, "dispatcher", "d3"), Refusal)
     value = taken(places.free(value, "dispatcher", "d1", "back", "d1", 9e9))
     assert isinstance(ask(value, "dispatcher", "d3"), Refusal)  # d2 is still out
@@ -86,7 +87,7 @@
     st.integers(0, 3),
 )
 def test_whatever_is_asked_no_place_is_given_beyond_the_limit(acts: list[tuple[str, int]], most: int) -> None:
-    value, down = taken(places.limit(VALUE, Limits(dispatchers=most), "d0", 0.0)), set[str]()
+    value, down = taken(places.set_limits(VALUE, Limits(dispatchers=most), "d0", 0.0)), set[str]()
     for what, number in acts:
         name = f"d{number}"
         seen = SEEN._replace(dispatchers_down=frozenset(down))
@@ -112,7 +113,7 @@
     def __init__(self, count: int = 3) -> None:
         names = tuple("abcde"[:count])
         value = msgspec.structs.replace(VALUE, voters=names, limits=Limits(dispatchers=1))
-        self.disks = {name: Held(7, name, (1, ""), (1, ""), value, 1) for name in names}
+        self.disks = {name: VoterState(7, name, (1, ""), (1, ""), value, 1) for name in names}
         self.acceptors = {name: Acceptor(held) for name, held in self.disks.items()}
 
     def answer(self, name: str, message: Prepare | Accept) -> Any:
@@ -147,7 +148,7 @@
 
 def test_voters_change_one_at_a_time_by_both_majorities() -> None:
     cluster = Cluster(3)
-    cluster.disks["d"] = Held(7, "d")
+    cluster.disks["d"] = VoterState(7, "d")
     cluster.acceptors["d"] = Acceptor(cluster.disks["d"])
 
     def put(votes: bool, name: str) -> Callable[[Value], Value | Refusal]:
@@ -220,7 +221,7 @@
 
 
 def gated(old: float, new: float, intervals: int = 30, tries: int = 100) -> Any:
-    gate, told = Gate(["all"], GateTerms(), 0.0), None
+    gate, told = Gate(["all"], GateSettings(), 0.0), None
     for second in range(1, intervals + 1):
         both = Tally(8 * tries, round(8 * tries * old)), Tally(tries, round(tries * new))
         told = gate.on_interval({"all": both}, float(second))
@@ -242,7 +243,7 @@
 
 def test_a_change_of_weight_between_groups_in_a_surge_is_no_difference() -> None:
     """The new group gets most of its tries while all goes badly: pooled over time it would look far worse."""
-    gate = Gate(["all"], GateTerms(), 0.0)
+    gate = Gate(["all"], GateSettings(), 0.0)
     for second in range(1, 60):
         bad = second > 30
         old, new = (100, 400) if bad else (400, 20)
@@ -252,7 +253,7 @@
 
 
 def test_a_regression_of_one_class_is_found_in_its_stratum_and_stays() -> None:
-    gate = Gate(["all", "search", "tickets"], GateTerms(), 0.0)
+    gate = Gate(["all", "search", "tickets"], GateSettings(), 0.0)
     for second in range(1, 31):
         tallies = {
             "search": (Tally(800, 776), Tally(100, 97)),
@@ -267,7 +268,7 @@
 def test_what_tells_equals_apart_is_no_fault_of_a_version() -> None:
     """In overload one refuses in bursts and another does not: a newcomer as far off as those is no worse."""
     for told, verdict in ((True, Verdict.FINE), (False, Verdict.WORSE)):
-        gate, shares, found = Gate(["service"], GateTerms(), 0.0), (0.95, 0.70, 0.90, 0.60), None
+        gate, shares, found = Gate(["service"], GateSettings(), 0.0), (0.95, 0.70, 0.90, 0.60), None
         for second in range(1, 41):
             members = {f"d{n}": {"service": Tally(20, round(20 * share))} for n, share in enumerate(shares)}
             old = Tally(80, sum(strata["service"].good for strata in members.values()))
@@ -281,7 +282,7 @@
 def test_what_was_written_is_read_and_nothing_else_passes_for_it(tmp_path: Path) -> None:
     store = Store(tmp_path)
     assert store.read() is None
-    held = Held(7, "a", (2, "x"), (1, ""), VALUE, 3, {"b": 4})
+    held = VoterState(7, "a", (2, "x"), (1, ""), VALUE, 3, {"b": 4})
     store.write(held)
     assert store.read() == held
     with pytest.raises(Unusable, match="another process"):
@@ -319,7 +320,7 @@
     store = Store(tmp_path)
     (tmp_path / FILE).mkdir()  # nothing can be written there, not even by root
     with pytest.raises(Unusable, match="takes nothing"):
-        store.write(Held(7, "a"))
+        store.write(VoterState(7, "a"))
     store.close()
 
 
@@ -342,7 +343,7 @@
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "done"
     assert len({voter.acceptor.held.register for voter in voters.values() if voter.acceptor is not None}) == 1
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "refused"
-    assert isinstance(await asker.change(lambda v: places.limit(v, Limits(2), "x", 0.0)), Value)
+    assert isinstance(await asker.change(lambda v: places.set_limits(v, Limits(2), "x", 0.0)), Value)
     # One that has lost its file does not become a new beginning: something was agreed since.
     voters["c"].close()
     (tmp_path / "c" / FILE).unlink()
@@ -358,7 +359,7 @@
 async def set_back(tmp_path: Path) -> None:
     voter = Voter("a", tmp_path)
     await voter.open()
-    voter.answer(Install(Held(7, "a", (1, ""), (1, ""), VALUE, 5), True), 0.0)
+    voter.answer(Install(VoterState(7, "a", (1, ""), (1, ""), VALUE, 5), True), 0.0)
     assert isinstance(voter.answer(Prepare(7, (2, "x")), 0.0), Promise)
     for writes, votes in ((6, True), (7, False)):
         voter.close()
--- a/tests/test_rig_configuration.py
+++ b/tests/test_rig_configuration.py
@@ -15,7 +15,8 @@
 import trio
 
 from benchmarks.distribution.real import drawn_world, play_drawn, sound
-from thistleshore.distribution.model import Peer, Row as ReportRow, Terms
+from thistleshore.distribution.model import Peer, Terms
+from thistleshore.distribution.model import Row as ReportRow
 from thistleshore.distribution.reports import Heard, Reports
 from thistleshore.rig import checks
 from thistleshore.rig.configuration import (
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,8 +15,8 @@
 from tests.standins import CONTRACTS, Beanstalkd, Http, World
 from tests.support import ROOT, free_port, play, program, talk
 from thistleshore import config
-from thistleshore.core import model
 from thistleshore.addresses import ip_number
+from thistleshore.core import model
 from thistleshore.dispatcher import serve
 from thistleshore.expressions import Request
 from thistleshore.expressions.functions import hash64
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,12 +5,31 @@
 import itertools
 
 import pytest
-from hypothesis import given, settings as runs, strategies as st
+from hypothesis import given
+from hypothesis import settings as runs
+from hypothesis import strategies as st
 
 from oxbowarch.brain import Brain
 from oxbowarch.interface import (
-    AttemptBudget, Cancel, Effect, Entry, Fail, Group, JobClass, ListKind, Note, Outcome, Refuse, Report, Reports,
-    Request, Send, Settings, State, Status, Timer,
+    AttemptBudget,
+    Cancel,
+    Effect,
+    Entry,
+    Fail,
+    Group,
+    JobClass,
+    ListKind,
+    Note,
+    Outcome,
+    Refuse,
+    Report,
+    Reports,
+    Request,
+    Send,
+    Settings,
+    State,
+    Status,
+    Timer,
 )  # fmt: skip
 
 PROVES_NOT_RUN = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,9 +13,9 @@
 import pytest
 
 from benchmarks.soak.terms import Terms
-from oxbowarch.shunning import STRIKES_MOST
 from oxbowarch.brain import Brain
 from oxbowarch.interface import Entry, ListKind, Outcome, Report, Request, Settings, State, Status
+from oxbowarch.shunning import STRIKES_MOST
 from tests.test_fleet import SEARCH, SLOTS, Fleet, worker_name
 
 SPAN, MEAN, COLD_FROM, WARM_UP, FACTOR = 2.0, 0.65, 0.12, 24.0, 4.0
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -9,7 +9,8 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from benchmarks.checks import fleet as check_fleet
--- a/thistleshore/beanstalkd/downstream.py
+++ b/thistleshore/beanstalkd/downstream.py
@@ -19,8 +19,7 @@
 from thistleshore.beanstalkd.model import HOST_PREFIX, REPLY_PREFIX
 from thistleshore.beanstalkd.routed import TubeRouter
 from thistleshore.beanstalkd.upstream import Hosts, Reservation, Slot, TubeJob
-from thistleshore.core.model import Event, FinalAnswer, LocalReply, Served, Stream, StreamOpened
-from thistleshore.core.model import StreamWithdrawn
+from thistleshore.core.model import Event, FinalAnswer, LocalReply, Served, Stream, StreamOpened, StreamWithdrawn
 from thistleshore.gate import BROKEN, READ_WITHIN, Gate, peer_address
 from thistleshore.routing import Routed
 
--- a/thistleshore/beanstalkd/upstream.py
+++ b/thistleshore/beanstalkd/upstream.py
@@ -16,8 +16,16 @@
 from oxbowarch.interface import Entry, ListKind, Report, State, Status
 from thistleshore.beanstalkd.codec import with_body
 from thistleshore.beanstalkd.model import HostSeat
-from thistleshore.core.model import Event, HostLine, HostReported, HostsTold, UpstreamHost, UpstreamOutcome
-from thistleshore.core.model import UpstreamRequest, UpstreamStarted
+from thistleshore.core.model import (
+    Event,
+    HostLine,
+    HostReported,
+    HostsTold,
+    UpstreamHost,
+    UpstreamOutcome,
+    UpstreamRequest,
+    UpstreamStarted,
+)
 from thistleshore.gate import BROKEN
 
 log = logging.getLogger("thistleshore")
--- a/thistleshore/cli/configuration.py
+++ b/thistleshore/cli/configuration.py
@@ -10,10 +10,10 @@
 
 import click
 
+from thistleshore.addresses import Address
 from thistleshore.admin import codec
 from thistleshore.cli.admin import address_of, ask_at, told
 from thistleshore.cli.fleet import CONFIG, DONE, LATE, NO_MAJORITY, REFUSED
-from thistleshore.addresses import Address
 from thistleshore.cli.shared import JSON, echo_json, refuse
 from thistleshore.distribution.model import BODY_MOST, digest_of
 
--- a/thistleshore/cli/shared.py
+++ b/thistleshore/cli/shared.py
@@ -11,8 +11,8 @@
 import click
 
 from thistleshore import config
-from thistleshore.expressions import Request, RequestError
 from thistleshore.addresses import ip_text
+from thistleshore.expressions import Request, RequestError
 from thistleshore.expressions.record import from_json
 from thistleshore.expressions.types import Ip, List, Map, Type
 from thistleshore.routing import RouteTable
--- a/thistleshore/config/operator.py
+++ b/thistleshore/config/operator.py
@@ -22,7 +22,16 @@
 from thistleshore.beanstalkd.routed import TubeRouter
 from thistleshore.config.errors import ConfigError
 from thistleshore.config.platform import (
-    IDLE_SHARE, SOCKETS, SOCKETS_SPARE, BeanstalkdPlan, ExchangePlan, HttpPlan, Plan, address, number, path_of,
+    IDLE_SHARE,
+    SOCKETS,
+    SOCKETS_SPARE,
+    BeanstalkdPlan,
+    ExchangePlan,
+    HttpPlan,
+    Plan,
+    address,
+    number,
+    path_of,
     sockets_of,
 )  # fmt: skip
 from thistleshore.contracts import Agreements, ContractTerms, MemberTerms, Retries
@@ -32,15 +41,16 @@
 from thistleshore.core.model import HostLine
 from thistleshore.distribution.model import Terms as DistributionTerms
 from thistleshore.distribution.plan import DistributionPlan
-from thistleshore.fleet.model import NAME_MOST, Terms as FleetTerms
-from thistleshore.fleet.plan import FleetPlan
-from thistleshore.logs import FORMATS
 from thistleshore.expressions import Limits, NetworkError, Rule, Source, address_set, request_environment
 from thistleshore.expressions.networks import AddressSet
-from thistleshore.releases.model import Limits as OutLimits
-from thistleshore.releases.plan import KeepPlan, ReleasesPlan
+from thistleshore.fleet.model import NAME_MOST
+from thistleshore.fleet.model import Terms as FleetTerms
+from thistleshore.fleet.plan import FleetPlan
+from thistleshore.logs import FORMATS
 from thistleshore.platform.messages import ListNames, Routes
 from thistleshore.platform.routed import HttpRouter
+from thistleshore.releases.model import Limits as OutLimits
+from thistleshore.releases.plan import KeepPlan, ReleasesPlan
 from thistleshore.routing import Live, RouteTable, TableError, Terms
 from thistleshore.routing.table import KINDS
 
--- a/thistleshore/configuration/agreement.py
+++ b/thistleshore/configuration/agreement.py
@@ -11,14 +11,14 @@
 
 from thistleshore.distribution.model import NO_VERSION, Stamp
 from thistleshore.releases.model import (
-    CONFIGURATIONS_MOST,
-    REASON_MOST,
+    MAX_CONFIGURATIONS,
+    MAX_REASON_LENGTH,
     Configuration,
     ConfigurationEntry,
     Refusal,
     Value,
 )
-from thistleshore.releases.places import changed
+from thistleshore.releases.places import with_change
 
 ACT = "configured"  # in the register's own history, with the version's number as the name
 AGAINST, UNKNOWN, IN_FORCE = "against", "version", "in-force"  # what a refusal names as its limit
@@ -108,8 +108,8 @@
 ) -> Value | Refusal:
     before = value.configuration
     number = before.number + 1
-    reason = reason[:REASON_MOST]
+    reason = reason[:MAX_REASON_LENGTH]
     entry = ConfigurationEntry(number, digest, size, by, reason, when, before.number, restored)
-    history = (*before.history, entry)[-CONFIGURATIONS_MOST:]
+    history = (*before.history, entry)[-MAX_CONFIGURATIONS:]
     after = msgspec.structs.replace(before, number=number, history=history)
-    return changed(value, ACT, str(number), reason, by, when, configuration=after)
+    return with_change(value, ACT, str(number), reason, by, when, configuration=after)
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -13,10 +13,10 @@
 import trio
 
 from thistleshore.config import Plan
-from thistleshore.core.model import HostLine
 from thistleshore.configuration import document
-from thistleshore.distribution.model import FORMAT, REASON_MOST, Stamp
 from thistleshore.configuration.store import StoreError, VersionStore
+from thistleshore.core.model import HostLine
+from thistleshore.distribution.model import FORMAT, REASON_MOST, Stamp
 from thistleshore.releases.faults import point
 
 log = logging.getLogger("thistleshore")
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -12,8 +12,8 @@
 from thistleshore.configuration import agreement
 from thistleshore.configuration.applying import Applier, NotApplied
 from thistleshore.configuration.carrier import Distribution
-from thistleshore.distribution.model import Zone, digest_of
 from thistleshore.configuration.uploads import UploadError, Uploads
+from thistleshore.distribution.model import Zone, digest_of
 from thistleshore.releases.carrier import NoMajority, Releases
 from thistleshore.releases.faults import point
 from thistleshore.releases.model import Configuration, ConfigurationEntry, Refusal, Value
@@ -208,7 +208,7 @@
         )
 
     def _agreed(self) -> bool:
-        return self.releases.known is not None and self.releases.agreed_lately
+        return self.releases.known is not None and self.releases.has_recent_majority
 
     def _configuration(self) -> Configuration:
         """As it is known here."""
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -10,10 +10,10 @@
 
 import trio
 
+from thistleshore.addresses import Address
 from thistleshore.configuration import agreement
 from thistleshore.configuration.applying import Applier, NotApplied, NotDurable
 from thistleshore.distribution.machine import Distributor
-from thistleshore.addresses import Address
 from thistleshore.distribution.model import Action, Apply, Peer, Send, Spread, Stamp, Terms, digest_of
 from thistleshore.fleet.model import Record, State
 from thistleshore.listening import Aside
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -13,8 +13,23 @@
 import trio
 
 from oxbowarch.brain import Brain
-from oxbowarch.interface import NEVER_RAN, Action, Cancel, Fail, Log, ListKind, Outcome, Refuse, Request
-from oxbowarch.interface import Send, State, Status, Tell, Timer, Watch
+from oxbowarch.interface import (
+    NEVER_RAN,
+    Action,
+    Cancel,
+    Fail,
+    ListKind,
+    Log,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
+    State,
+    Status,
+    Tell,
+    Timer,
+    Watch,
+)
 from oxbowarch.notes import Notebook
 from thistleshore.core import model
 from thistleshore.core.figures import Figures
--- a/thistleshore/distribution/machine.py
+++ b/thistleshore/distribution/machine.py
@@ -20,9 +20,9 @@
 from collections.abc import Iterable, Iterator
 from math import inf
 
+from thistleshore.addresses import Address
 from thistleshore.distribution import wire
 from thistleshore.distribution.bodies import Bodies, Mismatch, decode, fits
-from thistleshore.addresses import Address
 from thistleshore.distribution.model import (
     BODY_MOST,
     FORMAT,
--- a/thistleshore/distribution/transfer.py
+++ b/thistleshore/distribution/transfer.py
@@ -11,9 +11,9 @@
 from enum import Enum
 from typing import NamedTuple
 
+from thistleshore.addresses import Address
 from thistleshore.distribution import wire
 from thistleshore.distribution.bodies import Bodies, Encoding, encoded_most
-from thistleshore.addresses import Address
 from thistleshore.distribution.model import NO_VERSION, Stamp, Terms
 
 SILENT_ANSWERS = 2.0  # answer times without a word of a source, after which another is asked
--- a/thistleshore/expressions/check.py
+++ b/thistleshore/expressions/check.py
@@ -17,8 +17,25 @@
 from thistleshore.expressions.functions import OPERATIONS
 from thistleshore.expressions.model import Environment, Limits, Node
 from thistleshore.expressions.syntax import Syntax, parse
-from thistleshore.expressions.types import INT_LEAST, INT_MOST, Bool, Double, Int, Ip, List, Map, Never, Optional
-from thistleshore.expressions.types import Record, Str, Type, join, meet, same_kind, weight
+from thistleshore.expressions.types import (
+    INT_LEAST,
+    INT_MOST,
+    Bool,
+    Double,
+    Int,
+    Ip,
+    List,
+    Map,
+    Never,
+    Optional,
+    Record,
+    Str,
+    Type,
+    join,
+    meet,
+    same_kind,
+    weight,
+)
 
 # What is known at a place: ("key", map, key) and ("ip", node) are True; ("type", node) is a narrower type;
 # ("digits", node) the bounds of an integer that a string spells.
--- a/thistleshore/metrics.py
+++ b/thistleshore/metrics.py
@@ -5,7 +5,6 @@
 
 import logging
 from collections.abc import Callable, Iterable, Iterator, Mapping
-
 from typing import TYPE_CHECKING, Any
 
 import h11
--- a/thistleshore/platform/downstream.py
+++ b/thistleshore/platform/downstream.py
@@ -9,12 +9,30 @@
 import h11
 import trio
 
-from thistleshore.core.model import Event, Failed, FinalAnswer, LocalReply, Served, Stream, StreamOpened
-from thistleshore.core.model import StreamWithdrawn
+from thistleshore.core.model import (
+    Event,
+    Failed,
+    FinalAnswer,
+    LocalReply,
+    Served,
+    Stream,
+    StreamOpened,
+    StreamWithdrawn,
+)
 from thistleshore.gate import BROKEN, READ_WITHIN, Gate, peer_address
 from thistleshore.invariants import invariant
-from thistleshore.platform.messages import BODY_MOST, PASSED, RECEIVE, Ask, Peer, Rejected, Routes
-from thistleshore.platform.messages import check_framing, header, read_terms
+from thistleshore.platform.messages import (
+    BODY_MOST,
+    PASSED,
+    RECEIVE,
+    Ask,
+    Peer,
+    Rejected,
+    Routes,
+    check_framing,
+    header,
+    read_terms,
+)
 
 PAST_KEPT, PAST_MOST = 10.0, 2048  # s and number for which names of ended streams are known
 WRITE_WITHIN = 5.0  # s for a downstream to take an answer
--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -17,7 +17,7 @@
 from thistleshore.releases.carrier import NoMajority, Releases
 from thistleshore.releases.messages import Deposit, Deposited, Install, Known, Learn
 from thistleshore.releases.model import Kind, Limits, Refusal, Value
-from thistleshore.releases.register import NONE, Accepted, Change, Held, Unable
+from thistleshore.releases.register import NO_BALLOT, Accepted, Change, Unable, VoterState
 
 Answer = dict[str, Any]
 TURNS = {"halt": "halted", "undo": "undoing", "resume": "resume"}  # calls, and the state that they ask for
@@ -64,7 +64,7 @@
         match name:
             case "limits":
                 limits = msgspec.json.decode(words[0], type=Limits)
-                return lambda value: places.limit(value, limits, me, now)
+                return lambda value: places.set_limits(value, limits, me, now)
             case "start":
                 plan = waves.read(msgspec.json.decode(" ".join(words)))
                 zones = self.releases.zones(plan.service)
@@ -95,7 +95,7 @@
 
         def change(value: Value) -> Value | Refusal:
             number = value.release.number if value.release is not None else 0
-            return waves.turn(value, number, state, told, self.releases.name, now)
+            return waves.change_state(value, number, state, told, self.releases.name, now)
 
         return change
 
@@ -108,12 +108,12 @@
 
         def change(value: Value) -> Value | Refusal:
             if name == "drain":
-                return places.ask(value, kind, which, reason, me, seen, now)
+                return places.grant(value, kind, which, reason, me, seen, now)
             return places.free(value, kind, which, reason, me, now)
 
         found = await self.releases.change(change)
         if isinstance(found, Value):
-            await self.releases.act()
+            await self.releases.apply()
         return {**_outcome(found), **self.state(kind, which)}
 
     # -- the register itself -----------------------------------------------------------------------
@@ -133,7 +133,7 @@
         register = next(iter(begun))[0] if begun else random.SystemRandom().getrandbits(62) + 1
         value = next((reply.value for reply in holds.values()), None) or Value(1, voters, plan.limits)
         installs = {
-            name: Install(Held(register, name, (1, ""), (1, ""), value, 1), begin=True)
+            name: Install(VoterState(register, name, (1, ""), (1, ""), value, 1), begin=True)
             for name in voters
             if name not in holds
         }
@@ -141,7 +141,7 @@
         if failed := {name: reply for name, reply in replies.items() if not isinstance(reply, Accepted)}:
             told = "; ".join(f"{voter}: {_why(reply)}" for voter, reply in failed.items())
             return {"status": "no-majority", "told": f"begin again, for {told}"}
-        await self.releases.look()
+        await self.releases.poll_voters()
         return {"status": "done", "number": 1}
 
     async def _take_in(self, name: str) -> Answer:
@@ -153,7 +153,7 @@
         if isinstance(found, Refusal):
             return _outcome(found)
         writes = self.releases.seen.get(name, 0) + 1
-        held = Held(self.releases.register, name, NONE, NONE, None, writes)
+        held = VoterState(self.releases.register, name, NO_BALLOT, NO_BALLOT, None, writes)
         reply = await self.releases.ask(name, Install(held, begin=False))
         problem = _why(reply) if not isinstance(reply, Accepted) else await self._hand_body(name, found)
         if problem:
@@ -176,7 +176,7 @@
     def _order(self) -> Answer:
         """What the keeper of this dispatcher is to do."""
         value = self.releases.known
-        if value is None or not self.releases.agreed_lately:
+        if value is None or not self.releases.has_recent_majority:
             return {"status": "no-majority", "told": "nothing is agreed now", "pid": os.getpid()}
         found = waves.order(value, self.releases.name)
         version = None if found.version is None else msgspec.to_builtins(found.version)
@@ -190,7 +190,7 @@
 
     def told_release(self) -> Answer:
         """The release as it is known here, who runs what, and why nothing goes on."""
-        value, agreed = self.releases.known, self.releases.agreed_lately
+        value, agreed = self.releases.known, self.releases.has_recent_majority
         if value is None or value.release is None:
             return {"agreed": value is not None and agreed, "release": None}
         release, driver = value.release, self.releases.driver
@@ -201,7 +201,7 @@
             "release": msgspec.to_builtins(release),
             "runs": {name: value.version_of(release.kind, name) for name in sorted(release.former)},
             "hosts": self._told_hosts(value),
-            "left": list(waves.todo(value)),
+            "left": list(waves.remaining(value)),
             "held": driver.held,
             "carried_on_by": live[0] if live else "",
             "gate": self._told_gate(),
@@ -257,7 +257,7 @@
             return {"number": 0, "agreed": False, "places": [], "voters": []}
         return {
             "number": value.number,
-            "agreed": self.releases.agreed_lately,
+            "agreed": self.releases.has_recent_majority,
             "voters": list(value.voters),
             "limits": msgspec.to_builtins(value.limits),
             "votes_here": None if voter is None else voter.why or "yes",
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -9,8 +9,8 @@
 import random
 import time
 from collections.abc import Awaitable, Callable, Mapping
-from pathlib import Path
 from math import inf
+from pathlib import Path
 from typing import NamedTuple
 
 import msgspec
@@ -20,7 +20,7 @@
 from thistleshore.distribution.model import digest_of
 from thistleshore.listening import Aside, patiently
 from thistleshore.releases import messages, places, waves
-from thistleshore.releases.driver import Driver, Figures, Seen
+from thistleshore.releases.driver import Driver, DriverInput, Figures
 from thistleshore.releases.faults import point
 from thistleshore.releases.messages import (
     Answer,
@@ -34,10 +34,10 @@
     Question,
     Report,
 )
-from thistleshore.releases.model import Refusal, Standing, Value
+from thistleshore.releases.model import FleetObservation, Refusal, Value
 from thistleshore.releases.plan import ReleasesPlan
 from thistleshore.releases.register import (
-    NONE,
+    NO_BALLOT,
     Accept,
     Ballot,
     Change,
@@ -46,22 +46,24 @@
     Reply,
     Round,
     Unable,
-    merged,
+    merge_write_counts,
 )
 from thistleshore.releases.store import BodyStore
 from thistleshore.releases.voter import Voter
 
 log = logging.getLogger("thistleshore")
 
-ANSWER = 0.5  # s for a voter's answer
-CHANGE = 3.0  # s for a change, with all its rounds
+ANSWER_TIMEOUT = 0.5  # s for a voter's answer
+CHANGE_TIMEOUT = 3.0  # s for a change, with all its rounds
 AGAIN = (0.01, 0.08)  # s before a round that met another is made again, doubled each time
-LOOK = 0.25  # s between two looks at the value, by a voter, and by all while anything is under way
-IDLE_LOOK = 1.0  # s between two looks of an instance without a vote while nothing is under way
-REPORT_EVERY = 1.0  # s between two reports while nobody needs them; voters keep one for longer (REPORT_KEPT)
+POLL_INTERVAL = 0.25  # s between two looks at the value, by a voter, and by all while anything is under way
+IDLE_POLL_INTERVAL = 1.0  # s between two looks of an instance without a vote while nothing is under way
+REPORT_INTERVAL = 1.0  # s between two reports while nobody needs them; voters keep one for longer (REPORT_LIFETIME)
 BODY_LOOK = 1.0  # s between two looks whether this voter holds the body of the version in force
-FRESH = 2.0  # s for which what a majority said counts as now: more than from one idle look to the next, with its answer
-SERVED_MOST = 64  # connections at a time
+MAJORITY_VALIDITY = (
+    2.0  # s for which what a majority said counts as now: more than from one idle look to the next, with its answer
+)
+MAX_CONNECTIONS = 64  # connections at a time
 
 
 class NoMajority(Exception):
@@ -72,14 +74,14 @@
     """The value of the highest ballot that a voter has told of, with what tells it apart from any other."""
 
     register: int = 0
-    ballot: Ballot = NONE
+    ballot: Ballot = NO_BALLOT
     value: Value | None = None
 
 
 class Releases:
     """One instance's part.  `standing` says what it sees; `ban` takes a host out at the module, or calls it back."""
 
-    def __init__(self, plan: ReleasesPlan, name: str, life: int, standing: Callable[[], Standing],
+    def __init__(self, plan: ReleasesPlan, name: str, life: int, standing: Callable[[], FleetObservation],
                  ban: Callable[[str, bool], Awaitable[None]], clear: Callable[[str], bool], ready: Callable[[], bool],
                  zones: Callable[[str], Mapping[str, str]],
                  drain: trio.Event, figures: Callable[[], Figures],
@@ -101,7 +103,7 @@
         self._register = 0
         self._latest = Latest()
         self._reported_at = -inf
-        self._unsure = NONE  # a ballot that was accepted by some, when last looked
+        self._unsure = NO_BALLOT  # a ballot that was accepted by some, when last looked
         self._random = random.Random()
         self._aside = Aside()
 
@@ -133,11 +135,11 @@
         await self.voter.open()
         listener = await patiently(address, "vote")
         log.info("register on %s:%d", *address)
-        room = trio.CapacityLimiter(SERVED_MOST)
+        room = trio.CapacityLimiter(MAX_CONNECTIONS)
 
         async def serve(stream: trio.SocketStream) -> None:
             assert self.voter is not None
-            with trio.move_on_after(2 * ANSWER):
+            with trio.move_on_after(2 * ANSWER_TIMEOUT):
                 try:
                     async with room:
                         asked = messages.questions.decode(await messages.read(stream))
@@ -160,7 +162,7 @@
         if address is None:
             return Unable("this instance's file has no address of it")
         # A file that is made anew takes a busy disk longer than one that is there.
-        with trio.move_on_after(CHANGE if isinstance(question, Install | Deposit) else ANSWER):
+        with trio.move_on_after(CHANGE_TIMEOUT if isinstance(question, Install | Deposit) else ANSWER_TIMEOUT):
             try:
                 async with await trio.open_tcp_stream(*address) as stream:
                     await messages.write(stream, question)
@@ -182,7 +184,7 @@
 
     # -- changes ----------------------------------------------------------------------------------------
 
-    async def change(self, change: Change, within: float = CHANGE) -> Value | Refusal:
+    async def change(self, change: Change, within: float = CHANGE_TIMEOUT) -> Value | Refusal:
         """Change the value, or be refused; NoMajority where neither came about (and it may yet, by another's round)."""
         told, wait = "no voter answered", AGAIN[0]
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
@@ -205,7 +207,7 @@
 
     async def _round(self, voters: tuple[str, ...], change: Change) -> Outcome:
         if not self._register:
-            await self.look()
+            await self.poll_voters()
             if not self._register:
                 return Outcome("lost", told="no voter holds the register; has it been begun?")
         self._number += 1
@@ -229,7 +231,7 @@
                 voter, reply = await receive.receive()
                 waiting += ask(this.on_reply(voter, reply)) - 1
             nursery.cancel_scope.cancel()
-        self.seen = merged(self.seen, this.seen)
+        self.seen = merge_write_counts(self.seen, this.seen)
         return this.outcome or Outcome("lost", told="; ".join(f"{n}: {why}" for n, why in sorted(this.unable.items())))
 
     # -- bodies of the configuration ---------------------------------------------------------------------------
@@ -257,7 +259,7 @@
                     failed[voter] = why
             if 2 * len(held) > len(voters):  # the others have a moment more
                 scope = nursery.cancel_scope
-                scope.deadline = min(scope.deadline, trio.current_time() + ANSWER)
+                scope.deadline = min(scope.deadline, trio.current_time() + ANSWER_TIMEOUT)
 
         async with trio.open_nursery() as nursery:
             for voter in voters:
@@ -279,7 +281,7 @@
     async def _voters(self) -> tuple[str, ...]:
         """Those of the latest value that is known; those of the file where none can be had."""
         if self.known is None:
-            await self.look()
+            await self.poll_voters()
         return self.known.voters if self.known is not None else tuple(self.plan.voters)
 
     async def _keep_current_body(self, voter: Voter) -> None:
@@ -294,7 +296,7 @@
                 voter.answer(Deposit(entry.digest, body), trio.current_time())
 
     @property
-    def agreed_lately(self) -> bool:
+    def has_recent_majority(self) -> bool:
         """Whether a majority has said that what is known here is what it holds."""
         return trio.current_time() <= self.fresh_until
 
@@ -308,20 +310,20 @@
         if self.known is None or value.number >= self.known.number:
             self.known = value
             if agreed:
-                self.fresh_until = trio.current_time() + FRESH
+                self.fresh_until = trio.current_time() + MAJORITY_VALIDITY
 
     def _under_way(self) -> bool:
         """Whether anybody is out, or a release is not over: then it matters how far the others are."""
         value = self.known
         if value is None:
             return False
-        return bool(value.places) or (value.release is not None and value.release.state not in waves.OVER)
+        return bool(value.places) or (value.release is not None and value.release.state not in waves.FINAL_STATES)
 
     def _question(self) -> Learn:
         """What this instance has and wants; with its own report, where one is due."""
         now, wanted = trio.current_time(), self._under_way()
         report = None
-        if wanted or now >= self._reported_at + REPORT_EVERY:
+        if wanted or now >= self._reported_at + REPORT_INTERVAL:
             report, self._reported_at = self.report(), now
         latest = self._latest
         return Learn(report, self.seen, latest.register, latest.ballot, wanted)
@@ -333,7 +335,7 @@
         busy, and be the reason why none is answered.
         """
         changing = self.known is not None and (self.known != self.agreed or self.applied != self.known.number)
-        pause = LOOK if self.voter is not None or changing or self._under_way() else IDLE_LOOK
+        pause = POLL_INTERVAL if self.voter is not None or changing or self._under_way() else IDLE_POLL_INTERVAL
         return pause * self._random.uniform(0.75, 1.25)
 
     def report(self) -> Report:
@@ -341,7 +343,7 @@
         clear = tuple(host for host in sorted(self.out) if self.clear(host))
         return Report(self.name, self.life, self.applied, clear, self.figures())
 
-    async def look(self) -> None:
+    async def poll_voters(self) -> None:
         """Ask all voters what they hold, and tell them how far this instance is."""
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
         before = self._latest
@@ -352,7 +354,7 @@
             if isinstance(reply, Known)
         }
         for voter, reply in held.items():
-            self.seen = merged(self.seen, reply.seen, {voter: reply.writes} if not reply.why else {})
+            self.seen = merge_write_counts(self.seen, reply.seen, {voter: reply.writes} if not reply.why else {})
             if self.voter is not None and voter != self.name:
                 self.voter.on_known(voter, reply.seen, voters)
         self.reports = {}
@@ -378,7 +380,7 @@
                 self._unsure = latest.accepted
                 return
             try:
-                await self.change(lambda value: value, ANSWER)
+                await self.change(lambda value: value, ANSWER_TIMEOUT)
             except NoMajority:
                 return
         else:
@@ -386,15 +388,15 @@
 
     async def _follow(self) -> None:
         while True:
-            await self.look()
+            await self.poll_voters()
             try:
-                await self.act()
+                await self.apply()
                 await self._drive()
             except NoMajority as problem:
                 log.warning("register: %s", problem)
             await trio.sleep(self._look_pause())
 
-    async def act(self) -> None:
+    async def apply(self) -> None:
         """Do here what the value says."""
         value = self.known
         if value is None:
@@ -406,7 +408,7 @@
         self.out = wanted
         self.applied = value.number
         place = value.place("dispatcher", self.name)
-        if place is None or not self.agreed_lately:
+        if place is None or not self.has_recent_majority:
             return  # without a majority that says so now, nobody begins
         if place.release:
             return  # its keeper takes it, and says what became of the change: until then nobody else may go out
@@ -425,7 +427,7 @@
 
     # -- the release -------------------------------------------------------------------------------------------
 
-    def leads(self, seen: Standing) -> bool:
+    def leads(self, seen: FleetObservation) -> bool:
         """Whether it is this instance that carries a release forward: the first by name of those that are ready and
         have reported to the voters lately.  Two that think so meet in the register."""
         live = [name for name in seen.dispatchers if name not in seen.dispatchers_down and name in self.reports]
@@ -433,11 +435,11 @@
 
     async def _drive(self) -> None:
         now = trio.current_time()
-        if self.known is None or not self.agreed_lately:
+        if self.known is None or not self.has_recent_majority:
             return
         seen = self.standing()
         figures = [report.figures for report in self.reports.values() if report.figures is not None]
-        step = self.driver.on_look(self.known, Seen(seen, *self.view(), figures), now)
+        step = self.driver.on_look(self.known, DriverInput(seen, *self.view(), figures), now)
         if step is None or not self.leads(seen):
             return
         point("driver-before")
--- a/thistleshore/releases/driver.py
+++ b/thistleshore/releases/driver.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from thistleshore.releases import places, waves
-from thistleshore.releases.gate import Gate, Tally, Terms, Told, Verdict
-from thistleshore.releases.model import Refusal, Release, Standing, Value
+from thistleshore.releases.gate import Gate, GateResult, GateSettings, Tally, Verdict
+from thistleshore.releases.model import FleetObservation, Refusal, Release, Value
 
 INTERVAL = 1.0  # s of one comparison
 WARM = 2.0  # s from the first word of a process for which it tells nothing: one that has just started is slower
@@ -35,10 +35,10 @@
     hosts: Mapping[str, HostCounts] = {}  # noqa: RUF012 - of its upstream requests there
 
 
-class Seen(NamedTuple):
+class DriverInput(NamedTuple):
     """What the instance sees as of now."""
 
-    standing: Standing
+    standing: FleetObservation
     settled: bool
     majority: bool
     figures: Iterable[Figures]
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         self.held = ""  # why nothing goes on now
-        self.told: Told | None = None  # the gate's last word
+        self.told: GateResult | None = None  # the gate's last word
         self._release = (0, -1)  # the release and wave that the gate is about
         self._gate: Gate | None = None
         self._counts: dict[tuple[str, int], Mapping[str, Counts]] = {}
@@ -87,9 +87,9 @@
         self._alone = False
         self._through: float | None = None  # since when nobody of the wave is left to change
 
-    def on_look(self, value: Value, seen: Seen, now: float) -> Step | None:
+    def on_look(self, value: Value, seen: DriverInput, now: float) -> Step | None:
         release = value.release
-        if release is None or release.state not in waves.LIVE:
+        if release is None or release.state not in waves.ACTIVE_STATES:
             self.held, self._release, self._gate, self._places = "", (0, -1), None, {}
             self._troubles.clear()
             self._hosts, self._host_counts = {}, {}
@@ -101,16 +101,16 @@
             how = "undoing" if release.worse == "undo" else "halted"
             told = self.told
             why = f"{told.stratum}: {told.new:.1%} of {told.tries}, {told.old:.1%} without it"
-            return Step(lambda v, by, when: waves.turn(v, number, how, why, by, when), why)
+            return Step(lambda v, by, when: waves.change_state(v, number, how, why, by, when), why)
         if trouble := self._trouble(value, seen, now):
-            return Step(lambda v, by, when: waves.turn(v, number, "halted", trouble, by, when), trouble)
+            return Step(lambda v, by, when: waves.change_state(v, number, "halted", trouble, by, when), trouble)
         if self.held:
             return None
         return self._next(value, release, seen, now)
 
     # -- what holds it, and what halts it
 
-    def _trouble(self, value: Value, seen: Seen, now: float) -> str:
+    def _trouble(self, value: Value, seen: DriverInput, now: float) -> str:
         """A reason to halt; `held` says what only holds it for a while."""
         assert value.release is not None
         down = seen.standing.dispatchers_down
@@ -134,43 +134,45 @@
                 return f"{midway[n].name} is not through after {now - since:.0f} s"
         return ""
 
-    def _next(self, value: Value, release: Release, seen: Seen, now: float) -> Step | None:
+    def _next(self, value: Value, release: Release, seen: DriverInput, now: float) -> Step | None:
         number = release.number
-        left = waves.todo(value)
+        left = waves.remaining(value)
         self._through = None if left else now if self._through is None else self._through
         for name in left:
             if value.place(release.kind, name) is not None:
                 continue
-            outcome = waves.give(value, number, name, "", seen.standing, 0.0)
+            outcome = waves.grant(value, number, name, "", seen.standing, 0.0)
             if isinstance(outcome, Refusal):
                 self.held = outcome.told
                 continue
             return Step(
-                lambda v, by, when, name=name: waves.give(v, number, name, by, seen.standing, when),  # type: ignore[misc]
+                lambda v, by, when, name=name: waves.grant(v, number, name, by, seen.standing, when),  # type: ignore[misc]
                 f"a place for {name}",
             )
         if left:
             self.held = self.held or f"waiting for {', '.join(left)}"
             return None
         if release.state == "undoing":
-            return Step(lambda v, by, when: waves.turn(v, number, "undone", release.told, by, when), "all are back")
+            return Step(
+                lambda v, by, when: waves.change_state(v, number, "undone", release.told, by, when), "all are back"
+            )
         verdict = self.told.verdict if self.told is not None else Verdict.WAIT
         if verdict is Verdict.UNTOLD:
             text = "too few requests to tell whether it is worse"
-            return Step(lambda v, by, when: waves.turn(v, number, "halted", text, by, when), text)
+            return Step(lambda v, by, when: waves.change_state(v, number, "halted", text, by, when), text)
         last = release.wave + 1 == len(release.waves)
         assert self._through is not None
         if not self._alone and (verdict is not Verdict.FINE or now - self._through < release.enough):
             self.held = f"the gate: {Verdict.WAIT.value}"  # and a wave is looked at for so long after its last one
             return None
         if last:
-            return Step(lambda v, by, when: waves.turn(v, number, "done", "", by, when), "all have it")
+            return Step(lambda v, by, when: waves.change_state(v, number, "done", "", by, when), "all have it")
         wave = release.wave
         return Step(lambda v, by, when: waves.next_wave(v, number, wave, "", by, when), f"wave {wave + 2}")
 
     # -- the gate
 
-    def _feed(self, value: Value, release: Release, seen: Seen, now: float) -> None:
+    def _feed(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
         """Feed the gate of the wave under way with what came since the last interval."""
         if release.state != "going":
             self._gate = self.told = None
@@ -184,7 +186,7 @@
         new = release.version.name
         runs = {figures.name: figures.version == new for figures in seen.figures}
         # Where all have it there is none to compare with: those who are left had it before this release.
-        self._alone = bool(runs) and all(runs.values()) and not waves.todo(value)
+        self._alone = bool(runs) and all(runs.values()) and not waves.remaining(value)
         if now - self._looked < INTERVAL:
             return
         self._looked = now
@@ -222,7 +224,7 @@
                 strata[stratum] = strata.get("service", Tally(0, 0))
         self._judge(release, pairs, now, members)
 
-    def _feed_hosts(self, value: Value, release: Release, seen: Seen, now: float) -> None:
+    def _feed_hosts(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
         """Ticket workers of the new version against those without it, as all dispatchers saw them."""
         new = {name for name in release.former if value.version_of("host", name) == release.version.name}
         self._alone = not set(release.former) - new
@@ -269,6 +271,6 @@
     ) -> None:
         if self._gate is None:
             strata = {*pairs, *(f"service at {name}" for wave in release.waves[: release.wave + 1] for name in wave)}
-            terms = Terms(error=release.error, margin=release.margin, enough=release.enough, bound=release.bound)
+            terms = GateSettings(error=release.error, margin=release.margin, enough=release.enough, bound=release.bound)
             self._gate = Gate(sorted(strata), terms, now)
         self.told = self._gate.on_interval(pairs, now, members)
--- a/thistleshore/releases/gate.py
+++ b/thistleshore/releases/gate.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 
-class Terms(NamedTuple):
+class GateSettings(NamedTuple):
     """What counts as worse, and with what chance of being wrong."""
 
     error: float = 0.01  # over all strata, and over the whole wave
@@ -43,7 +43,7 @@
     UNTOLD = "too few tries to tell, up to the bound"
 
 
-class Told(NamedTuple):
+class GateResult(NamedTuple):
     verdict: Verdict
     stratum: str = ""
     old: float = 0.0  # share of good tries without the new version
@@ -61,7 +61,7 @@
 
     __slots__ = ("chance", "difference", "members", "new", "old", "terms", "variance", "weight")
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: GateSettings) -> None:
         self.terms = terms
         self.old, self.new = Tally(0, 0), Tally(0, 0)
         self.members: dict[str, Tally] = {}  # of those without the new version, one by one
@@ -119,17 +119,17 @@
 class Gate:
     """One wave's gate.  `on_interval` takes the tallies of one interval by stratum, and says what they come to."""
 
-    def __init__(self, strata: Iterable[str], terms: Terms, now: float) -> None:
+    def __init__(self, strata: Iterable[str], terms: GateSettings, now: float) -> None:
         self.terms, self.begun = terms, now
         self.strata = {name: Stratum(terms) for name in strata}
-        self.worse: Told | None = None
+        self.worse: GateResult | None = None
 
     def on_interval(
         self,
         tallies: Mapping[str, tuple[Tally, Tally]],
         now: float,
         members: Mapping[str, Mapping[str, Tally]] | None = None,
-    ) -> Told:
+    ) -> GateResult:
         """Tallies without and with the new version, and those without it member by member.
 
         Once worse, always worse: a wave is not gated twice."""
@@ -143,7 +143,7 @@
         if self.worse is None:
             for name, stratum in self.strata.items():
                 if (chance := stratum.look()) < self.terms.error / len(self.strata):
-                    self.worse = Told(
+                    self.worse = GateResult(
                         Verdict.WORSE, name, _share(stratum.old), _share(stratum.new), stratum.new.tries, chance
                     )
                     break
@@ -151,10 +151,10 @@
             return self.worse
         told = any(min(s.old.tries, s.new.tries) >= self.terms.least for s in self.strata.values())
         if told and now - self.begun >= self.terms.enough:
-            return Told(Verdict.FINE)
+            return GateResult(Verdict.FINE)
         if not told and now - self.begun >= self.terms.bound:
-            return Told(Verdict.UNTOLD)
-        return Told(Verdict.WAIT)
+            return GateResult(Verdict.UNTOLD)
+        return GateResult(Verdict.WAIT)
 
 
 def _share(tally: Tally) -> float:
--- a/thistleshore/releases/keeper.py
+++ b/thistleshore/releases/keeper.py
@@ -32,7 +32,7 @@
         return BASE if self.version is None else self.version.name
 
 
-class Kept(msgspec.Struct, frozen=True):
+class KeeperState(msgspec.Struct, frozen=True):
     """What is on the disk: who serves, who comes beside it, and how far that is."""
 
     serving: Child
@@ -68,30 +68,30 @@
     hard: bool = False  # SIGKILL; else SIGTERM, and it drains
 
 
-class Say(NamedTuple):
+class FleetCall(NamedTuple):
     """To the fleet, by the dispatcher that serves: takes, arrived or failed."""
 
     what: str
     words: tuple[str, ...]
 
 
-Action = Start | End | Say
+Action = Start | End | FleetCall
 
 
 class Keeper:
     """One dispatcher's.  `kept` is to be written whenever it has changed, before the actions are carried out."""
 
-    def __init__(self, plan: Plan, kept: Kept | None, alive: frozenset[int], now: float) -> None:
+    def __init__(self, plan: Plan, kept: KeeperState | None, alive: frozenset[int], now: float) -> None:
         """`kept` is what the keeper before left, and `alive` which of its processes live."""
         self.plan, self.now = plan, now
-        self.kept = kept or Kept(Child(None))
+        self.kept = kept or KeeperState(Child(None))
         self.over = False  # it is told to end
         self.lost = ""  # why it does not go on
         self._crashes: deque[float] = deque()
         self._start_at, self._pause = now, BACK_OFF[0]
         self._ready = False  # whoever is waited for has answered
         self._until = inf  # when the phase is over
-        self._say: Say | None = None  # until the fleet has taken it
+        self._say: FleetCall | None = None  # until the fleet has taken it
         self._say_at = -inf
         self._asked: Order | None = None
         self._starting = False
@@ -99,7 +99,7 @@
         if kept is not None:
             self._adopt(kept, alive)
 
-    def _adopt(self, kept: Kept, alive: frozenset[int]) -> None:
+    def _adopt(self, kept: KeeperState, alive: frozenset[int]) -> None:
         old, new = kept.serving.pid in alive, kept.newcomer is not None and kept.newcomer.pid in alive
         if old and new and kept.newcomer is not None:
             self._phase(kept.phase, kept.serving, kept.newcomer)
@@ -119,7 +119,7 @@
     # -- steps
 
     def _phase(self, phase: Phase, serving: Child, newcomer: Child | None) -> None:
-        self.kept = Kept(serving, newcomer, phase)
+        self.kept = KeeperState(serving, newcomer, phase)
         lasts = {"beside": self.plan.ready, "trial": self.plan.trial, "ending": self.plan.end, "back": self.plan.end}
         self._until = self.now + lasts.get(phase, inf)
 
@@ -136,7 +136,7 @@
             self._tell(word, child, why)
 
     def _tell(self, what: str, child: Child, why: str = "") -> None:
-        self._say, self._say_at = Say(what, (f"-{child.name}", *why.split())), -inf
+        self._say, self._say_at = FleetCall(what, (f"-{child.name}", *why.split())), -inf
 
     # -- what happens
 
@@ -245,7 +245,7 @@
                 if order.place:
                     self._tell("arrived", kept.serving)  # it has what it is to have: no place is needed
             elif order.place and not order.begun:
-                self._asked, self._say = order, Say("takes", (str(order.place),))
+                self._asked, self._say = order, FleetCall("takes", (str(order.place),))
                 self._say_at = now + AGAIN
                 return [self._say]
             elif order.place:
@@ -262,7 +262,7 @@
         self._starting = True
         return [Start(Child(order.version), True)]
 
-    def on_said(self, say: Say, status: str, now: float) -> list[Action]:
+    def on_said(self, say: FleetCall, status: str, now: float) -> list[Action]:
         """The fleet's answer: done, refused, or none for lack of a majority (then it is told again)."""
         self.now = now
         if say != self._say or status not in ("done", "refused"):
--- a/thistleshore/releases/keeping.py
+++ b/thistleshore/releases/keeping.py
@@ -26,16 +26,16 @@
 from thistleshore.addresses import Address
 from thistleshore.admin.calling import call
 from thistleshore.releases.faults import point
-from thistleshore.releases.keeper import Action, Child, End, Keeper, Kept, Order, Plan, Say, Start
+from thistleshore.releases.keeper import Action, Child, End, FleetCall, Keeper, KeeperState, Order, Plan, Start
 from thistleshore.releases.model import Version
 from thistleshore.releases.plan import KeepPlan
 
 log = logging.getLogger("thistleshore")
 
 FILE, LOCK, OUTPUT = "keeper.json", "keeper.lock", "dispatcher.log"
-LOOK = 0.2  # s between two questions
-ANSWER = 1.0  # s for an answer
-AGREED = 6.0  # s for one that takes an agreement
+POLL_INTERVAL = 0.2  # s between two questions
+ANSWER_TIMEOUT = 1.0  # s for an answer
+CHANGE_TIMEOUT = 6.0  # s for one that takes an agreement
 # It waits for the word to go on until the keeper has written down which process it is; a keeper that dies before that
 # leaves nobody of whom the next one does not know.
 LAUNCHER = (
@@ -49,7 +49,7 @@
     """Another keeper keeps it."""
 
 
-def born(pid: int) -> int:
+def start_ticks(pid: int) -> int:
     """When a process was started, in the kernel's ticks since boot; 0 where it is gone, or a corpse."""
     try:
         state, *fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -58,15 +58,15 @@
     return 0 if state == "Z" else int(fields[18])
 
 
-def lives(child: Child) -> bool:
+def is_running(child: Child) -> bool:
     """Whether that very process lives: ids are used again."""
-    return child.pid > 0 and born(child.pid) == child.born
+    return child.pid > 0 and start_ticks(child.pid) == child.born
 
 
-def read(folder: Path) -> Kept | None:
+def read(folder: Path) -> KeeperState | None:
     """What the keeper before left, None where there is nothing; ValueError where it is spoilt."""
     try:
-        return msgspec.json.decode((folder / FILE).read_bytes(), type=Kept)
+        return msgspec.json.decode((folder / FILE).read_bytes(), type=KeeperState)
     except FileNotFoundError:
         return None
     except msgspec.MsgspecError as problem:
@@ -105,7 +105,7 @@
             raise Busy(f"another keeper has {self.folder}") from None
         kept = read(self.folder)
         known = [child for child in (kept.serving, kept.newcomer) if child is not None] if kept is not None else []
-        alive = frozenset(child.pid for child in known if lives(child))
+        alive = frozenset(child.pid for child in known if is_running(child))
         self.machine = Keeper(
             Plan(plan.ready, plan.trial, plan.end, plan.crashes, plan.span), kept, alive, trio.current_time()
         )
@@ -120,7 +120,7 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for child in (self.machine.kept.serving, self.machine.kept.newcomer):
-                if child is not None and child.pid and lives(child):
+                if child is not None and child.pid and is_running(child):
                     self._watch(child)
             told = False
             while True:
@@ -129,14 +129,14 @@
                     await self._carry_out(self.machine.on_end(trio.current_time()))
                 await self._carry_out(self.machine.on_time(trio.current_time()))
                 kept = self.machine.kept
-                if told and not any(child is not None and lives(child) for child in (kept.serving, kept.newcomer)):
+                if told and not any(child is not None and is_running(child) for child in (kept.serving, kept.newcomer)):
                     break
                 if self.machine.lost:
                     log.error("keeper: it is not started again: %s", self.machine.lost)
                     break
                 if not told:
                     await self._look()
-                with trio.move_on_after(LOOK):
+                with trio.move_on_after(POLL_INTERVAL):
                     await (ends.wait() if not told else trio.sleep_forever())
             nursery.cancel_scope.cancel()
         return 3 if self.machine.lost else 0
@@ -148,7 +148,7 @@
         order = await self._ask("order")
         if order is None or "pid" not in order:
             return
-        if (await call(self.admin, "PING", ANSWER)).startswith("OK"):
+        if (await call(self.admin, "PING", ANSWER_TIMEOUT)).startswith("OK"):
             await self._carry_out(self.machine.on_ready(order["pid"], trio.current_time()))
         if order["status"] == "done":
             version = None if order["version"] is None else msgspec.convert(order["version"], Version)
@@ -169,8 +169,8 @@
             else:
                 await self._say(action)
 
-    async def _say(self, say: Say) -> None:
-        answer = await self._ask(" ".join((say.what, *say.words)), AGREED)
+    async def _say(self, say: FleetCall) -> None:
+        answer = await self._ask(" ".join((say.what, *say.words)), CHANGE_TIMEOUT)
         if answer is None:
             return
         if answer["status"] != "done":
@@ -205,7 +205,7 @@
                 self.machine.on_not_started(start.beside, f"cannot be started: {problem.strerror}", trio.current_time())
             )
             return
-        child = Child(version, made.pid, born(made.pid))
+        child = Child(version, made.pid, start_ticks(made.pid))
         self._children[made.pid] = made
         log.info(
             "keeper: started %d as %s%s",
@@ -260,7 +260,7 @@
 
     # -- questions
 
-    async def _ask(self, what: str, within: float = ANSWER) -> dict[str, Any] | None:
+    async def _ask(self, what: str, within: float = ANSWER_TIMEOUT) -> dict[str, Any] | None:
         answer = await call(self.admin, f"FLEET {what}", within)
         try:
             found = json.loads(answer.split("\n")[0])
--- a/thistleshore/releases/messages.py
+++ b/thistleshore/releases/messages.py
@@ -13,10 +13,10 @@
 
 from thistleshore.releases.driver import Figures
 from thistleshore.releases.model import Value
-from thistleshore.releases.register import NONE, Accept, Ballot, Held, Prepare, Reply
+from thistleshore.releases.register import NO_BALLOT, Accept, Ballot, Prepare, Reply, VoterState
 
 FRAME = struct.Struct("!I")
-FRAME_MOST = 1 << 20
+MAX_FRAME_BYTES = 1 << 20
 
 
 class Report(msgspec.Struct, frozen=True):
@@ -35,7 +35,7 @@
     report: Report | None = None
     seen: dict[str, int] = {}  # noqa: RUF012 - how many writes of each voter the asker knows of
     register: int = 0  # that the asker follows; 0: none yet
-    holds: Ballot = NONE  # the ballot whose accepted value the asker has: it need not be sent again
+    holds: Ballot = NO_BALLOT  # the ballot whose accepted value the asker has: it need not be sent again
     wants_reports: bool = True
 
 
@@ -55,7 +55,7 @@
 class Install(msgspec.Struct, frozen=True, tag=True):
     """Begin the register, or take a voter in again: all that it is to hold."""
 
-    held: Held
+    held: VoterState
     begin: bool  # only where nothing ever was
 
 
@@ -95,7 +95,7 @@
     """The next message, undecoded; EOFError where the stream ends, or the message is too long."""
     data = b""
     while len(data) < FRAME.size or len(data) < FRAME.size + FRAME.unpack_from(data)[0]:
-        if len(data) >= FRAME.size and FRAME.unpack_from(data)[0] > FRAME_MOST:
+        if len(data) >= FRAME.size and FRAME.unpack_from(data)[0] > MAX_FRAME_BYTES:
             raise EOFError
         part = await stream.receive_some(65536)
         if not part:
--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-HISTORY_MOST = 64
-REASON_MOST = 200  # characters
-PLACES_MOST = 256
-CONFIGURATIONS_MOST = 32  # versions of the configuration in the history
+MAX_HISTORY = 64
+MAX_REASON_LENGTH = 200  # characters
+MAX_PLACES = 256
+MAX_CONFIGURATIONS = 32  # versions of the configuration in the history
 
 Kind = Literal["dispatcher", "host"]
 Limit = Annotated[int, msgspec.Meta(ge=0)] | Annotated[str, msgspec.Meta(pattern=r"^(100|[0-9]{1,2})%$")]
@@ -107,7 +107,7 @@
     """The version in force, and the latest ones, oldest first.  Version numbers are their own, not those of `Value`."""
 
     number: int = 0  # 0: none was pushed yet
-    history: tuple[ConfigurationEntry, ...] = ()  # CONFIGURATIONS_MOST at most
+    history: tuple[ConfigurationEntry, ...] = ()  # MAX_CONFIGURATIONS at most
 
     @property
     def current(self) -> ConfigurationEntry | None:
@@ -141,7 +141,7 @@
         return next((place for place in self.places if place.kind == kind and place.name == name), None)
 
 
-class Standing(NamedTuple):
+class FleetObservation(NamedTuple):
     """What the asking instance sees: who there is (hosts: service and zone), and who is down without having asked."""
 
     dispatchers: dict[str, int]  # lives by name
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -11,16 +11,16 @@
 import msgspec
 
 from thistleshore.releases.model import (
-    HISTORY_MOST,
-    PLACES_MOST,
-    REASON_MOST,
+    MAX_HISTORY,
+    MAX_PLACES,
+    MAX_REASON_LENGTH,
     Act,
+    FleetObservation,
     Kind,
     Limit,
     Limits,
     Place,
     Refusal,
-    Standing,
     Value,
 )
 
@@ -33,9 +33,9 @@
     return max(1, known * share // 100) if share else 0
 
 
-def changed(value: Value, what: str, name: str, reason: str, by: str, when: float, **fields: object) -> Value:
-    act = Act(value.number + 1, what, name, reason[:REASON_MOST], by, when)
-    history = (*value.history, act)[-HISTORY_MOST:]
+def with_change(value: Value, what: str, name: str, reason: str, by: str, when: float, **fields: object) -> Value:
+    act = Act(value.number + 1, what, name, reason[:MAX_REASON_LENGTH], by, when)
+    history = (*value.history, act)[-MAX_HISTORY:]
     return msgspec.structs.replace(value, number=value.number + 1, history=history, **fields)
 
 
@@ -48,21 +48,21 @@
     return Refusal(limit, most, others, f"{limit} allows {most} out, and out are: {', '.join(others) or 'none'}")
 
 
-def ask(
-    value: Value, kind: Kind, name: str, reason: str, by: str, seen: Standing, when: float, release: int = 0
+def grant(
+    value: Value, kind: Kind, name: str, reason: str, by: str, seen: FleetObservation, when: float, release: int = 0
 ) -> Value | Refusal:
     """A place for it.  Whoever has one already keeps it, and the value is as before."""
     if value.place(kind, name) is not None:
         return value
-    if len(value.places) >= PLACES_MOST:
-        return Refusal("places", PLACES_MOST, (), "no more places are kept")
+    if len(value.places) >= MAX_PLACES:
+        return Refusal("places", MAX_PLACES, (), "no more places are kept")
     if kind == "dispatcher":
         if name not in seen.dispatchers:
             return Refusal("known", 0, (), f"no dispatcher is named {name!r}")
         held = {place.name for place in value.places if place.kind == kind}
         refused = _within("dispatchers", value.limits.dispatchers, seen.dispatchers, held | seen.dispatchers_down, name)
         place = Place(
-            kind, name, reason[:REASON_MOST], by, value.number + 1, life=seen.dispatchers[name], release=release
+            kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, life=seen.dispatchers[name], release=release
         )
     else:
         if name not in seen.hosts:
@@ -79,10 +79,10 @@
                 if place.kind == kind and place.service == service and (limit == "hosts" or place.zone == zone)
             }
             refused = refused or _within(limit, bound, group, held | (seen.hosts_down & group), name)
-        place = Place(kind, name, reason[:REASON_MOST], by, value.number + 1, service, zone, release=release)
+        place = Place(kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, service, zone, release=release)
     if refused is not None:
         return refused
-    return changed(value, f"{kind} may go out", name, reason, by, when, places=(*value.places, place))
+    return with_change(value, f"{kind} may go out", name, reason, by, when, places=(*value.places, place))
 
 
 def begin(value: Value, kind: Kind, name: str, number: int, by: str, when: float) -> Value | Refusal:
@@ -93,7 +93,7 @@
     if place.begun:
         return value
     places = tuple(msgspec.structs.replace(p, begun=True) if p is place else p for p in value.places)
-    return changed(value, f"{kind} goes out", name, place.reason, by, when, places=places)
+    return with_change(value, f"{kind} goes out", name, place.reason, by, when, places=places)
 
 
 def free(value: Value, kind: Kind, name: str, reason: str, by: str, when: float) -> Value | Refusal:
@@ -102,12 +102,12 @@
     if place is None:
         return Refusal("place", 0, (), f"{kind} {name} has no place")
     places = tuple(p for p in value.places if p is not place)
-    return changed(value, f"{kind} is back", name, reason, by, when, places=places)
+    return with_change(value, f"{kind} is back", name, reason, by, when, places=places)
 
 
-def limit(value: Value, limits: Limits, by: str, when: float) -> Value | Refusal:
+def set_limits(value: Value, limits: Limits, by: str, when: float) -> Value | Refusal:
     """Other limits from now on.  Nobody who is out is called back; nobody else goes out while there are too many."""
-    return value if limits == value.limits else changed(value, "limits", "", "", by, when, limits=limits)
+    return value if limits == value.limits else with_change(value, "limits", "", "", by, when, limits=limits)
 
 
 def change_voter(value: Value, name: str, votes: bool, by: str, when: float) -> Value | Refusal:
@@ -117,4 +117,4 @@
     voters = (*value.voters, name) if votes else tuple(v for v in value.voters if v != name)
     if not voters:
         return Refusal("voters", 1, (), "the last voter stays")
-    return changed(value, "votes" if votes else "votes no more", name, "", by, when, voters=tuple(sorted(voters)))
+    return with_change(value, "votes" if votes else "votes no more", name, "", by, when, voters=tuple(sorted(voters)))
--- a/thistleshore/releases/register.py
+++ b/thistleshore/releases/register.py
@@ -18,18 +18,18 @@
 from thistleshore.releases.model import Refusal, Value
 
 Ballot = tuple[int, str]  # a number, and who proposes
-NONE: Ballot = (0, "")
+NO_BALLOT: Ballot = (0, "")
 Change = Callable[[Value], Value | Refusal]
 Holds = Callable[[str], bool]  # whether the body of that digest is on this voter's disk
 
 
-class Held(msgspec.Struct, frozen=True):
+class VoterState(msgspec.Struct, frozen=True):
     """A voter's durable state."""
 
     register: int  # drawn when the register was begun
     voter: str
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: Value | None = None
     writes: int = 0  # of this voter, ever
     seen: dict[str, int] = {}  # noqa: RUF012 - how many writes of each other voter are known of
@@ -76,7 +76,7 @@
 Reply = Promise | Accepted | Rejected | Unable
 
 
-def merged(*tables: dict[str, int]) -> dict[str, int]:
+def merge_write_counts(*tables: dict[str, int]) -> dict[str, int]:
     """The most that any table says of each."""
     found: dict[str, int] = {}
     for table in tables:
@@ -97,20 +97,20 @@
     majority from which its body can be fetched.
     """
 
-    def __init__(self, held: Held, holds: Holds = holds_no_body) -> None:
+    def __init__(self, held: VoterState, holds: Holds = holds_no_body) -> None:
         self.held, self.holds = held, holds
 
-    def on_prepare(self, asked: Prepare) -> tuple[Held | None, Reply]:
+    def on_prepare(self, asked: Prepare) -> tuple[VoterState | None, Reply]:
         held = self.held
         if problem := self._strange(asked.register, asked.seen):
             return None, problem
         if asked.ballot < held.promised:
             return None, Rejected(held.promised)
         after = msgspec.structs.replace(held, promised=asked.ballot, writes=held.writes + 1,
-                                        seen=merged(held.seen, asked.seen))  # fmt: skip
+                                        seen=merge_write_counts(held.seen, asked.seen))  # fmt: skip
         return after, Promise(asked.ballot, held.accepted, held.value, after.writes, after.seen)
 
-    def on_accept(self, asked: Accept) -> tuple[Held | None, Reply]:
+    def on_accept(self, asked: Accept) -> tuple[VoterState | None, Reply]:
         held = self.held
         if problem := self._strange(asked.register, asked.seen):
             return None, problem
@@ -119,8 +119,14 @@
         current = asked.value.configuration.current
         if current is not None and not self.holds(current.digest):
             return None, Unable(f"it does not hold the body of version {current.number}")
-        after = msgspec.structs.replace(held, promised=asked.ballot, accepted=asked.ballot, value=asked.value,
-                                        writes=held.writes + 1, seen=merged(held.seen, asked.seen))  # fmt: skip
+        after = msgspec.structs.replace(
+            held,
+            promised=asked.ballot,
+            accepted=asked.ballot,
+            value=asked.value,
+            writes=held.writes + 1,
+            seen=merge_write_counts(held.seen, asked.seen),
+        )
         return after, Accepted(asked.ballot, after.writes)
 
     def _strange(self, register: int, seen: dict[str, int]) -> Unable | None:
@@ -138,7 +144,7 @@
     what: str  # done, again (another ballot is higher), voters (the value names others), lost (no majority can come)
     value: Value | None = None
     refusal: Refusal | None = None
-    higher: Ballot = NONE
+    higher: Ballot = NO_BALLOT
     told: str = ""
 
 
@@ -174,7 +180,7 @@
                 pass  # a majority was there before it; this voter's answer to the Accept is still to come
             case Accepted() if reply.ballot == self.ballot and self._value is not None:
                 self._accepted.add(voter)
-                self.seen = merged(self.seen, {voter: reply.writes})
+                self.seen = merge_write_counts(self.seen, {voter: reply.writes})
                 if self._majority(self._accepted, self.voters) and self._majority(self._accepted, self._next):
                     self.outcome = Outcome("done", self._value, self._refusal)
             case _:
@@ -184,7 +190,7 @@
 
     def _promised(self, voter: str, reply: Promise) -> dict[str, Prepare | Accept]:
         self._promises[voter] = reply
-        self.seen = merged(self.seen, reply.seen)
+        self.seen = merge_write_counts(self.seen, reply.seen)
         for name, promise in list(self._promises.items()):
             if self.seen.get(name, 0) > promise.writes:
                 del self._promises[name]  # set back: its word is not worth a vote
@@ -192,7 +198,7 @@
         if not self._majority(set(self._promises), self.voters):
             self._look_lost()
             return {}
-        self.seen = merged(self.seen, {name: promise.writes for name, promise in self._promises.items()})
+        self.seen = merge_write_counts(self.seen, {name: promise.writes for name, promise in self._promises.items()})
         found = max(self._promises.values(), key=lambda promise: promise.accepted)
         if found.value is None:
             self.outcome = Outcome("lost", told="the register was never begun")
--- a/thistleshore/releases/standing.py
+++ b/thistleshore/releases/standing.py
@@ -5,12 +5,12 @@
 from oxbowarch.interface import State as HostState
 from thistleshore.core.broker import Broker
 from thistleshore.fleet import Fleet, Service, State
-from thistleshore.releases.model import Standing
+from thistleshore.releases.model import FleetObservation
 
 COLD = 2.0  # s after its start for which a host counts as cold, and so as out
 
 
-def standing(fleet: Fleet, broker: Broker, now: float) -> Standing:
+def standing(fleet: Fleet, broker: Broker, now: float) -> FleetObservation:
     """As of now.  Whoever is down, suspect, not ready, cold or shunned by the module counts as out."""
     lives: dict[str, int] = {}
     down: set[str] = set()
@@ -32,4 +32,4 @@
         shunned = worker is not None and now < worker.shunned_until
         if entry.state is not HostState.READY or cold or shunned:
             hosts_down.add(name.decode())
-    return Standing(lives, frozenset(down), hosts, frozenset(hosts_down))
+    return FleetObservation(lives, frozenset(down), hosts, frozenset(hosts_down))
--- a/thistleshore/releases/store.py
+++ b/thistleshore/releases/store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from thistleshore.releases.register import Held
+from thistleshore.releases.register import VoterState
 
 FORMAT = 1
 FILE, LOCK = "register.sqlite", "register.lock"
@@ -56,7 +56,7 @@
     def close(self) -> None:
         os.close(self._lock)
 
-    def read(self) -> Held | None:
+    def read(self) -> VoterState | None:
         """What is there, None where nothing ever was; Unusable where it is torn or of a newer version."""
         path = self.folder / FILE
         if not path.exists():
@@ -75,11 +75,11 @@
         if not isinstance(data, bytes) or zlib.crc32(data) != total:
             raise Unusable("its file is torn: the checksum is wrong")
         try:
-            return msgspec.msgpack.decode(data, type=Held)
+            return msgspec.msgpack.decode(data, type=VoterState)
         except msgspec.MsgspecError as problem:
             raise Unusable(f"its file is torn: {problem}") from None
 
-    def write(self, held: Held) -> None:
+    def write(self, held: VoterState) -> None:
         """Durable once this returns; Unusable where the disk takes nothing (then nothing may be answered)."""
         data = msgspec.msgpack.encode(held)
         try:
--- a/thistleshore/releases/voter.py
+++ b/thistleshore/releases/voter.py
@@ -21,12 +21,12 @@
     Question,
     Report,
 )
-from thistleshore.releases.register import Accepted, Acceptor, Held, Prepare, Reply, Unable, merged
+from thistleshore.releases.register import Accepted, Acceptor, Prepare, Reply, Unable, VoterState, merge_write_counts
 from thistleshore.releases.store import BodyStore, Busy, Store, Unusable
 
 log = logging.getLogger("thistleshore")
 
-REPORT_KEPT = 3.0  # s for which a voter tells what an instance reported
+REPORT_LIFETIME = 3.0  # s for which a voter tells what an instance reported
 SET_BACK = "its file was set back to an older copy"
 
 
@@ -101,7 +101,7 @@
     def answer(self, asked: Question, now: float) -> Answer:
         """What to answer; the state it speaks of is durable by then."""
         if isinstance(asked, Learn):
-            self.seen = merged(self.seen, asked.seen)
+            self.seen = merge_write_counts(self.seen, asked.seen)
             return self._known(asked, now)
         if isinstance(asked, Install):
             return self._install(asked)
@@ -143,7 +143,7 @@
     def _known(self, asked: Learn, now: float) -> Known:
         if asked.report is not None:
             self.reports[asked.report.name] = now, asked.report
-        held = self.acceptor.held if self.acceptor is not None else Held(0, self.name)
+        held = self.acceptor.held if self.acceptor is not None else VoterState(0, self.name)
         # One ballot of one register has one value.
         unchanged = held.value is not None and (held.register, held.accepted) == (asked.register, asked.holds)
         return Known(
@@ -153,12 +153,12 @@
             writes=held.writes,
             why=self.why,
             reports=self._fresh_reports(now) if asked.wants_reports else (),
-            seen=merged(held.seen, self.seen),
+            seen=merge_write_counts(held.seen, self.seen),
             unchanged=unchanged,
         )
 
     def _fresh_reports(self, now: float) -> tuple[Report, ...]:
-        return tuple(report for at, report in self.reports.values() if now - at <= REPORT_KEPT)
+        return tuple(report for at, report in self.reports.values() if now - at <= REPORT_LIFETIME)
 
     def _install(self, asked: Install) -> Reply:
         if self.store is None or asked.held.voter != self.name:
--- a/thistleshore/releases/waves.py
+++ b/thistleshore/releases/waves.py
@@ -10,20 +10,20 @@
 from thistleshore.releases import places
 from thistleshore.releases.model import (
     BASE,
-    REASON_MOST,
+    MAX_REASON_LENGTH,
+    FleetObservation,
     Kind,
     Limit,
     Place,
     Refusal,
     Release,
-    Standing,
     Value,
     Version,
     run_key,
 )
 
-LIVE = ("going", "undoing")
-OVER = ("done", "undone")
+ACTIVE_STATES = ("going", "undoing")
+FINAL_STATES = ("done", "undone")
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -89,7 +89,7 @@
     """Begin a release for those that the asking instance knows, with their zones."""
     kind: Kind = "host" if plan.service else "dispatcher"
     before = value.release
-    if before is not None and before.state in LIVE:
+    if before is not None and before.state in ACTIVE_STATES:
         return Refusal("release", 1, (), f"release {before.number} is {before.state}: halt it, or wait for its end")
     if held := [place.name for place in value.places if place.release]:
         return Refusal("release", 0, tuple(held), f"of the last release {', '.join(held)} are still midway")
@@ -112,7 +112,7 @@
         waves(plan.waves, zones),
         former,
         by,
-        plan.reason[:REASON_MOST],
+        plan.reason[:MAX_REASON_LENGTH],
         worse="halt" if plan.worse == "halt" else "undo",
         within=plan.within,
         enough=plan.enough,
@@ -125,12 +125,12 @@
     used = {*value.runs.values()}
     versions = {name: version for name, version in value.versions.items() if name in used}
     versions[plan.version.name] = plan.version
-    return places.changed(
+    return places.with_change(
         value, "release starts", plan.version.name, plan.reason, by, when, release=release, versions=versions
     )
 
 
-def turn(value: Value, number: int, state: str, told: str, by: str, when: float) -> Value | Refusal:
+def change_state(value: Value, number: int, state: str, told: str, by: str, when: float) -> Value | Refusal:
     """Halt, resume, undo, or end the release of that number; whoever has a place and has not begun gives it back."""
     now = value.release
     if now is None or now.number != number:
@@ -139,7 +139,7 @@
     if wanted == now.state:
         return value  # asked twice is asked once
     allowed = {
-        "halted": LIVE,
+        "halted": ACTIVE_STATES,
         "resume": ("halted",),
         "undoing": ("going", "halted", "done"),
         "done": ("going",),
@@ -148,9 +148,9 @@
     if now.state not in allowed:
         return Refusal("release", 0, (), f"release {number} is {now.state}")
     halted_in = now.state if state == "halted" else "undoing" if wanted == "undoing" else "going"
-    after = msgspec.structs.replace(now, state=wanted, told=told[:REASON_MOST], halted_in=halted_in)
+    after = msgspec.structs.replace(now, state=wanted, told=told[:MAX_REASON_LENGTH], halted_in=halted_in)
     kept = tuple(place for place in value.places if not place.release or place.begun)
-    return places.changed(value, f"release {wanted}", now.version.name, told, by, when, release=after, places=kept)
+    return places.with_change(value, f"release {wanted}", now.version.name, told, by, when, release=after, places=kept)
 
 
 def next_wave(value: Value, number: int, wave: int, told: str, by: str, when: float) -> Value | Refusal:
@@ -158,7 +158,7 @@
     if now is None or now.number != number or now.state != "going" or now.wave != wave:
         return Refusal("release", 0, (), "another has carried it on")
     after = msgspec.structs.replace(now, wave=wave + 1, told=told)
-    return places.changed(value, f"release wave {wave + 2}", now.version.name, told, by, when, release=after)
+    return places.with_change(value, f"release wave {wave + 2}", now.version.name, told, by, when, release=after)
 
 
 def target(value: Value, name: str, kind: Kind = "dispatcher") -> str:
@@ -167,17 +167,17 @@
     if now is None or now.kind != kind:
         return has
     has = has or now.former.get(name, has)
-    if now.state not in LIVE:
+    if now.state not in ACTIVE_STATES:
         return has
     if now.state == "undoing":
         return now.former.get(name, has)
     return now.version.name if any(name in wave for wave in now.waves[: now.wave + 1]) else has
 
 
-def todo(value: Value) -> tuple[str, ...]:
+def remaining(value: Value) -> tuple[str, ...]:
     """Who is still to change, in order: in the wave under way, or of the latest wave that is not back."""
     now = value.release
-    if now is None or now.state not in LIVE:
+    if now is None or now.state not in ACTIVE_STATES:
         return ()
     kind = now.kind
 
@@ -199,12 +199,12 @@
     return place if place is not None and place.release else None
 
 
-def give(value: Value, number: int, name: str, by: str, seen: Standing, when: float) -> Value | Refusal:
+def grant(value: Value, number: int, name: str, by: str, seen: FleetObservation, when: float) -> Value | Refusal:
     """A place for one that is to change."""
     now = value.release
-    if now is None or now.number != number or name not in todo(value):
+    if now is None or now.number != number or name not in remaining(value):
         return Refusal("release", 0, (), "another has carried it on")
-    return places.ask(value, now.kind, name, f"release of {now.version.name}", by, seen, when, number)
+    return places.grant(value, now.kind, name, f"release of {now.version.name}", by, seen, when, number)
 
 
 class Order(NamedTuple):
@@ -228,7 +228,7 @@
     if place is None and value.version_of(kind, name) == version:
         return value
     kept = tuple(p for p in value.places if p is not place)
-    return places.changed(
+    return places.with_change(
         value,
         "runs",
         name,
@@ -246,6 +246,6 @@
     """The change did not come about: it serves on with `version`, and the release halts."""
     after = arrived(value, name, version, by, when, kind)
     now = value.release
-    if isinstance(after, Refusal) or now is None or now.state not in LIVE:
+    if isinstance(after, Refusal) or now is None or now.state not in ACTIVE_STATES:
         return after
-    return turn(after, now.number, "halted", f"{name}: {told}", by, when)
+    return change_state(after, now.number, "halted", f"{name}: {told}", by, when)
--- a/thistleshore/restart/handover_state.py
+++ b/thistleshore/restart/handover_state.py
@@ -20,8 +20,8 @@
 from thistleshore.platform.discovery import Discovery
 from thistleshore.platform.downstream import Downstream
 from thistleshore.platform.messages import STATES, ListNames, Malformed, read_hosts
-from thistleshore.platform.start_times import at_epoch
 from thistleshore.platform.peers import Peers
+from thistleshore.platform.start_times import at_epoch
 from thistleshore.platform.upstream import Upstreams
 from thistleshore.restart.carrier import HandoverLinks, HasFile, Inherited, Link
 
--- a/thistleshore/rig/hollow.py
+++ b/thistleshore/rig/hollow.py
@@ -77,7 +77,7 @@
     def follows(self) -> bool:
         """Whether a majority of the voters has answered it lately."""
         releases = self.releases
-        return releases is not None and releases.agreed_lately
+        return releases is not None and releases.has_recent_majority
 
     @property
     def configuration(self) -> int:
--- a/thistleshore/rig/processes.py
+++ b/thistleshore/rig/processes.py
@@ -127,7 +127,7 @@
         except ValueError:
             return []
         known = (found.serving, found.newcomer) if found is not None else ()
-        return [child for child in known if child is not None and keeping.lives(child)]
+        return [child for child in known if child is not None and keeping.is_running(child)]
 
     @property
     def lives(self) -> bool:
--- a/thistleshore/rig/reaper.py
+++ b/thistleshore/rig/reaper.py
@@ -20,7 +20,7 @@
         with suppress(ValueError, OSError):
             found = keeping.read(file.parent)
             for child in (found.serving, found.newcomer) if found is not None else ():
-                if child is not None and keeping.lives(child):
+                if child is not None and keeping.is_running(child):
                     os.kill(child.pid, signal.SIGKILL)
 
 
--- a/thistleshore/rig/rig.py
+++ b/thistleshore/rig/rig.py
@@ -11,13 +11,13 @@
 
 import trio
 
+from thistleshore.addresses import Address
 from thistleshore.admin.calling import call
 from thistleshore.fleet.model import Terms
 from thistleshore.load.plan import convert as load_plan
 from thistleshore.load.run import Sender
 from thistleshore.rig.ports import free_ports
 from thistleshore.rig.processes import PROGRAM, Kept, Process, reaper
-from thistleshore.addresses import Address
 from thistleshore.rig.relay import Links, carry_connections, carry_datagrams
 from thistleshore.rig.truth import Row, Truth
 from thistleshore.rig.workers import Bay, Worker
--- a/thistleshore/routing/table.py
+++ b/thistleshore/routing/table.py
@@ -13,8 +13,8 @@
 from thistleshore.expressions import Kind, Limits, Request, Rule, RuleErrors, RuleSet, Source
 from thistleshore.expressions.diagnostics import ExpressionError, Span
 from thistleshore.expressions.functions import hash64
-from thistleshore.expressions.model import Environment, Node
 from thistleshore.expressions.literal import quoted
+from thistleshore.expressions.model import Environment, Node
 from thistleshore.expressions.rules import KEY_TYPES, Looked
 from thistleshore.expressions.types import Str
 
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -9,9 +9,9 @@
 
 from oxbowarch.interface import State
 from thistleshore.config import Plan
+from thistleshore.configuration.store import BODY_FOLDER, FileBodyStore
 from thistleshore.core.broker import Broker
 from thistleshore.core.model import BanAsked
-from thistleshore.configuration.store import BODY_FOLDER, FileBodyStore
 from thistleshore.fleet.machine import Fleet
 from thistleshore.releases.calls import ReleaseCalls
 from thistleshore.releases.carrier import Releases
