--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -62,7 +62,9 @@
         "digests": sorted({f"{machine.digest:08x}" for machine in machines}),
         "living": sorted({len(machine.living()) for machine in machines}),
         "follows": sum(each.follows for each in dispatchers),
-        "unheard": sum(len(exchange.silent(trio.current_time())) for exchange in exchanges if exchange is not None),
+        "unheard": sum(
+            len(exchange.silent_peers(trio.current_time())) for exchange in exchanges if exchange is not None
+        ),
         "pushed": versions.pushed,
         "in_force": versions.in_force,
     }
--- a/benchmarks/capacity/slopes.py
+++ b/benchmarks/capacity/slopes.py
@@ -113,7 +113,7 @@
         )
         time.sleep(pace.quiet)
         values = each_of(watch(running, pace.seconds), count, empty)
-    delivered = values["sends"] / ((count - 1) / LeaseTerms().every)
+    delivered = values["sends"] / ((count - 1) / LeaseTerms().message_interval)
     for key in ("bytes", "cpu_percent"):
         values[key] = round(values[key] / delivered, 3)
     return values | {"delivered": round(delivered, 3)}
--- a/benchmarks/checks/exchange.py
+++ b/benchmarks/checks/exchange.py
@@ -29,7 +29,7 @@
 from thistleshore.contracts.model import ShareKey
 
 SHARE = ShareKey(0, 0)
-TERMS = Terms(every=1.0, lease=2.5, drift=0.0)  # a step is a second: a lease outlasts two of them
+TERMS = Terms(message_interval=1.0, lease=2.5, drift=0.0)  # a step is a second: a lease outlasts two of them
 FATES = ("lost", "now", "later", "twice")
 SLACK = 1e-9
 
@@ -97,7 +97,7 @@
     for node in state.nodes:
         told.append(round(now - node._born, 1) if now - node._born < TERMS.lease else None)
         for peer in node._peers.values():
-            age = round(now - peer.told_at, 1) if now - peer.told_at < 2 * TERMS.lease else None
+            age = round(now - peer.received_at, 1) if now - peer.received_at < 2 * TERMS.lease else None
             taken = [(s, round(until - now, 1)) for s, until in peer.taken if until > now]
             ceded = [(given.rows, round(given.until - now, 1)) for given in peer.ceded if given.until > now]
             heard = [round(now - at, 1) for number, at in peer.sent.items() if now - at < TERMS.lease]
@@ -193,7 +193,7 @@
         if i == j:
             solver.add(ceded[i][j] == 0)
     for i in range(instances):
-        solver.add(z3.Sum(ceded[i]) <= 1 - z3.RealVal(str(TERMS.keep)))
+        solver.add(z3.Sum(ceded[i]) <= 1 - z3.RealVal(str(TERMS.reserved_part)))
     total = z3.Sum(
         [
             (1 - (0 if forget and i == 0 else z3.Sum(ceded[i])) + z3.Sum([row[i] for row in used])) / instances
--- a/benchmarks/contracts/surge.py
+++ b/benchmarks/contracts/surge.py
@@ -199,7 +199,7 @@
         return pool.slots(self.brain.workers.values(), 1, self.world.now)
 
     def room(self) -> list[float]:
-        return pool.room(self.brain.workers.values(), 1, self.world.now)
+        return pool.free_slots(self.brain.workers.values(), 1, self.world.now)
 
     def open(self, job: Job, repeat: bool) -> None:
         world, now = self.world, self.world.now
@@ -506,7 +506,7 @@
         assert node.exchange is not None and node.ledger is not None
         node.exchange.on_demand(node.ledger.demands(self.now))
         if self.plan.front == "http":  # elsewhere a host's slots are one dispatcher's
-            node.exchange.on_out({name: worker.out for name, worker in node.brain.workers.items()})
+            node.exchange.on_attempts_in_flight({name: worker.out for name, worker in node.brain.workers.items()})
         for peer, data in node.exchange.due(self.now):
             cut = self.plan.cut[0] <= self.now < self.plan.cut[1]
             if not cut and self.random.random() >= self.plan.loss:
@@ -518,7 +518,7 @@
             self.most_parts = max(self.most_parts, parts)
             assert self.nodes[0].exchange is not None
             self.first.append((self.now, self.nodes[0].exchange.part(share, self.now)))
-        self.later(node.exchange.terms.every, lambda: self.beat(node))
+        self.later(node.exchange.terms.message_interval, lambda: self.beat(node))
 
 
 def service(world: World) -> dict[int, float]:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -169,7 +169,7 @@
     plan = config.operator_plan(tomllib.loads(found.toml()), 0.0)
     search, pay = plan.settings.classes
     assert plan.http is not None and plan.http.listen == ("127.0.0.1", 8080) and plan.connect_within == 0.25
-    assert [(line.dial, line.entry.weight, line.entry.kind) for line in plan.known] == [
+    assert [(line.address, line.entry.weight, line.entry.kind) for line in plan.known] == [
         (("127.0.0.1", 9001), 3.0, 0),
         (("127.0.0.1", 9002), 1.0, 0),
         (("127.0.0.1", 9003), 1.0, 1),
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -22,10 +22,10 @@
 from tests.support import ROOT, free_port, play, steady
 from thistleshore import config
 from thistleshore.contracts import Agreements, ContractTerms, Ledger, MemberTerms, Retries, ShareKey
-from thistleshore.contracts.exchange import BYTES_MOST, HEAD, Exchange, Terms
-from thistleshore.contracts.model import OTHERS
+from thistleshore.contracts.exchange import MAX_DATAGRAM_BYTES, HEAD, Exchange, Terms
+from thistleshore.contracts.model import OTHER_MEMBERS
 from thistleshore.contracts.retry_budget import CombinedRetryBudget, RetryBudget, SlidingCounter
-from thistleshore.contracts.sharing import fill, lend
+from thistleshore.contracts.sharing import share_max_min, lend
 from thistleshore.metrics import Contracts, Page
 
 FRONTS = pytest.mark.parametrize("world", [Http, Beanstalkd])
@@ -55,7 +55,7 @@
     room: float, asked: list[tuple[float, float]]
 ) -> None:
     demands, weights = [d for d, _ in asked], [w for _, w in asked]
-    parts = fill(room, demands, weights)
+    parts = share_max_min(room, demands, weights)
     assert all(0.0 <= part <= demand + 1e-9 for part, demand in zip(parts, demands, strict=True))
     assert sum(parts) == pytest.approx(min(room, sum(demands)), abs=1e-6)
     # Max-min: who got less than asked for has, by weight, no less than anybody.
@@ -65,7 +65,7 @@
 
 
 def test_weights_as_small_as_floats_can_be() -> None:
-    assert fill(0.002, [0.5, 0.5], [2e-311, 2e-311]) == pytest.approx([0.001, 0.001])
+    assert share_max_min(0.002, [0.5, 0.5], [2e-311, 2e-311]) == pytest.approx([0.001, 0.001])
     assert lend(0.002, [4e-314], [0.17], [inf]) == pytest.approx([0.002])
 
 
@@ -90,7 +90,7 @@
     at = ledger(MemberTerms("a", 0.9), MemberTerms("b", 0.9))
     assert [row.guaranteed for row in at.tree(1.0)] == pytest.approx([5.0, 5.0])
     assert standings(at, "stranger", 2, 1.0) == [True, True]
-    named = ledger(MemberTerms("a", 0.9), MemberTerms(OTHERS, 0.1))
+    named = ledger(MemberTerms("a", 0.9), MemberTerms(OTHER_MEMBERS, 0.1))
     assert standings(named, "stranger", 1, 1.0) == [False]
     assert standings(ledger(MemberTerms("a", 0.0)), "a", 2, 1.0) == [True, True]
 
@@ -168,16 +168,18 @@
 
 
 def test_bounds_hold_and_whoever_is_over_longest_gives_way() -> None:
-    at = ledger(MemberTerms("a", 0.1, jobs=1), MemberTerms("b", 0.1, jobs=1), free=0.0, waiting=6, waiting_each=5)
+    at = ledger(
+        MemberTerms("a", 0.1, jobs=1), MemberTerms("b", 0.1, jobs=1), free=0.0, max_waiting=6, max_waiting_per_share=5
+    )
     standings(at, "a", 5, 1.0, 10)
     standings(at, "b", 3, 1.1, 20)
     assert [(offer.stream, offer.spare) for offer in at.due(1.1)] == [(10, 1.0), (20, 1.0)] and at.waiting == 6
     standings(at, "b", 2, 1.1, 30)
     assert at.due(1.1) == [(14, 0.0), (13, 0.0)]
-    small = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, waiting_bytes=25)
+    small = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, max_waiting_bytes=25)
     standings(small, "a", 4, 1.0)
     assert Counter(offer.spare for offer in small.due(1.0)) == {1.0: 1, 0.0: 1}
-    each = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, waiting_each=2)
+    each = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, max_waiting_per_share=2)
     standings(each, "a", 5, 1.0)
     each.due(1.0)
     assert each.waiting == 2
@@ -350,7 +352,7 @@
         members = tuple(MemberTerms(f"m{n}", share, jobs=3) for n, share in enumerate(shares))
         both = (ContractTerms("x", 0, 0.4, run=0.5), ContractTerms("y", 0, 1.0, run=1.0))
         self.slots = slots
-        agreements = Agreements(members, both, waiting=8, waiting_each=5, waiting_bytes=500)
+        agreements = Agreements(members, both, max_waiting=8, max_waiting_per_share=5, max_waiting_bytes=500)
         self.at = Ledger(agreements, 0.0, lambda: [self.slots], lambda: [self.free])
         self.opened: dict[int, float] = {}
         self.offered: Counter[int] = Counter()
@@ -434,7 +436,7 @@
         node.on_demand(dict.fromkeys(LEAVES, demand))
     for node in nodes:
         for to, data in node.due(now):
-            assert len(data) <= BYTES_MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
             if not lost:
                 nodes[to].on_datagram(data, now + 0.01)
 
@@ -448,7 +450,7 @@
     for step in range(10, 35):
         talk(nodes, step / 10, [0.7, 0.1], lost=1.0)
         assert sum(node.part(LEAVES[0], step / 10) for node in nodes) <= 1.0 + 1e-9
-    assert [node.part(LEAVES[0], 3.5) for node in nodes] == [0.5, 0.5] and nodes[0].silent(3.5) == [1]
+    assert [node.part(LEAVES[0], 3.5) for node in nodes] == [0.5, 0.5] and nodes[0].silent_peers(3.5) == [1]
     for step in range(35, 39):
         talk(nodes, step / 10, [0.7, 0.1])
     assert nodes[0].part(LEAVES[0], 3.9) > 0.7  # three messages after the cut
@@ -459,7 +461,7 @@
     for step in range(10):
         talk(nodes, step / 10, [0.7, 0.1])
     nodes[1] = Exchange(1, 2, LEAVES, Terms(), 2, 1.0)
-    assert nodes[1].part(LEAVES[0], 1.0) == pytest.approx(0.5 * Terms().keep)
+    assert nodes[1].part(LEAVES[0], 1.0) == pytest.approx(0.5 * Terms().reserved_part)
     for step in range(10, 22):
         talk(nodes, step / 10, [0.7, 0.1])
         assert sum(node.part(LEAVES[0], step / 10 + 0.02) for node in nodes) <= 1.0 + 1e-9
@@ -494,13 +496,13 @@
     hosts = {b"host-%d" % n: n for n in range(100)}
     for step in range(20):
         nodes[0].on_demand(dict.fromkeys(leaves, 2.0))
-        nodes[0].on_out(hosts)
+        nodes[0].on_attempts_in_flight(hosts)
         for node in nodes:
             for to, data in node.due(step / 10):
-                assert len(data) <= BYTES_MOST and nodes[to].on_datagram(data, step / 10)
+                assert len(data) <= MAX_DATAGRAM_BYTES and nodes[to].on_datagram(data, step / 10)
     assert all(nodes[1].part(leaf, 2.0) < 0.5 < nodes[0].part(leaf, 2.0) for leaf in leaves)
-    found = [nodes[1].beside(host, 2.0) for host in hosts]
-    assert sum(count is not None for count in found) > 60 and nodes[1].beside(b"nobody", 2.0) is None
+    found = [nodes[1].peers_in_flight(host, 2.0) for host in hosts]
+    assert sum(count is not None for count in found) > 60 and nodes[1].peers_in_flight(b"nobody", 2.0) is None
 
 
 def test_the_exchange_is_checked_and_its_flaw_would_be_found() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -187,7 +187,7 @@
     dial = trio.open_tcp_stream
 
     async def scenario() -> tuple[list[str], list[bytes]]:
-        inbox, told = trio.open_memory_channel[model.HostsTold](9)
+        inbox, told = trio.open_memory_channel[model.HostListReceived](9)
         there, go, calls = trio.Event(), trio.Event(), list[bytes]()
         says = {"in the head": 20, "in the list": 70, "the list is whole": 9999}.get(where, 0)
 
@@ -221,7 +221,7 @@
             watch = watching(at, of=settings(40))
             call = watch._call
 
-            async def called(*what: Any) -> model.HostsTold:
+            async def called(*what: Any) -> model.HostListReceived:
                 found = await call(*what)
                 if where == "the list is whole" and not go.is_set():
                     watch.move(("127.0.0.1", to))  # the signal's task ran in the step that read the last byte
@@ -279,7 +279,7 @@
             watch = watching(port, of=of, seed=seed)
             nursery.start_soon(broker.run)
             line = model.HostLine(Entry(b"h", State.READY), ("127.0.0.1", 9))
-            broker.post(model.HostsTold(ListKind.CACHED, (line,)))
+            broker.post(model.HostListReceived(ListKind.CACHED, (line,)))
             nursery.start_soon(wait_for_hosts, broker, None if asked else watch, listed)
             nursery.start_soon(watch.run, broker.post)
             begun = trio.current_time()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -219,7 +219,7 @@
 
 async def drained_in(of: Settings, behave: Callable[[int, Lines, trio.SocketStream, bool], Any]) -> float:
     """Seconds after a drain until a dispatcher knows of it; `behave` says whether it has answered a call, by number."""
-    inbox, told = trio.open_memory_channel[model.HostsTold](99)
+    inbox, told = trio.open_memory_channel[model.HostListReceived](99)
     drains, number = trio.Event(), 0
 
     async def handle(stream: trio.SocketStream) -> None:
@@ -321,7 +321,7 @@
     """For eight seconds connections are refused: at its return what the agent gets counts at once."""
 
     async def scenario() -> float:
-        inbox, told = trio.open_memory_channel[model.HostsTold](99)
+        inbox, told = trio.open_memory_channel[model.HostListReceived](99)
         port = free_port()
 
         async def handle(stream: trio.SocketStream) -> None:
@@ -347,14 +347,14 @@
     async def scenario() -> bool:
         broker = Broker(Brain(settings(), 1, 0.0))
         host = Entry(b"h", State.READY)
-        broker.post(model.HostsTold(ListKind.FULL, (model.HostLine(host, ("127.0.0.1", 9)),)))
+        broker.post(model.HostListReceived(ListKind.FULL, (model.HostLine(host, ("127.0.0.1", 9)),)))
         withdrawn = model.StreamWithdrawn(model.Stream("t", 0, 9.0, withdrawn=True))
         async with trio.open_nursery() as nursery:
             with suppress(trio.WouldBlock):
                 for _ in range(2 * QUEUE):
                     broker.inbox.send_nowait(withdrawn)
             draining = host._replace(state=State.DRAINING)
-            broker.post(model.HostsTold(ListKind.CHANGES, (model.HostLine(draining, ("127.0.0.1", 9)),)))
+            broker.post(model.HostListReceived(ListKind.CHANGES, (model.HostLine(draining, ("127.0.0.1", 9)),)))
             nursery.start_soon(broker.run)
             for _ in range(30):
                 await trio.lowlevel.checkpoint()
@@ -405,7 +405,7 @@
     listed: dict[int, float] = {}
 
     class Asking(discovery.Discovery):
-        async def _call(self, call: Call, faults: list[str]) -> model.HostsTold:
+        async def _call(self, call: Call, faults: list[str]) -> model.HostListReceived:
             now = trio.current_time()
             queue[:] = [free for free in queue if free > now]
             free = max(queue[-1:] or [now]) + 0.2
@@ -494,8 +494,8 @@
                 await trio.sleep(0.3 * waits)
                 await stream.send_all(body(9, "leaving") if waits else body(8, "active"))
 
-    async def scenario() -> list[model.HostsTold]:
-        inbox, told = trio.open_memory_channel[model.HostsTold](99)
+    async def scenario() -> list[model.HostListReceived]:
+        inbox, told = trio.open_memory_channel[model.HostListReceived](99)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watching(await listening(nursery, handle)).run, inbox.send_nowait)
             found = [await told.receive() for _ in range(2)]
@@ -561,7 +561,9 @@
 
             watch = watching(await listening(nursery, handle), of=of)
             nursery.start_soon(broker.run)
-            broker.post(model.HostsTold(ListKind.CACHED, (model.HostLine(Entry(b"h", State.READY), ("127.0.0.1", 9)),)))
+            broker.post(
+                model.HostListReceived(ListKind.CACHED, (model.HostLine(Entry(b"h", State.READY), ("127.0.0.1", 9)),))
+            )
             nursery.start_soon(wait_for_hosts, broker, watch, listed)
             nursery.start_soon(watch.run, broker.post)
             await trio.sleep(0.1)
@@ -583,7 +585,7 @@
         plan = config.platform_plan(PLATFORM, {}, 0.0)
         assert plan.http is not None
         broker, watch = Broker(Brain(settings(), 1, 0.0)), watching(9, seq=9)
-        front = Downstream(plan.http.routes, broker.listed, broker.inbox, 9)
+        front = Downstream(plan.http.routes, broker.hosts_listed, broker.inbox, 9)
         left = HandoverState(plan, broker, front, Upstreams(Ways(1.0, 1.0, 9)), None, watch)
         broker.version = 8
         here = left.snapshot()[0]["list"]["seq"]
@@ -600,7 +602,7 @@
 
     async def scenario() -> tuple[list[bytes], int]:
         calls, port = list[bytes](), free_port()
-        inbox, told = trio.open_memory_channel[model.HostsTold](99)
+        inbox, told = trio.open_memory_channel[model.HostListReceived](99)
 
         async def handle(stream: trio.SocketStream) -> None:
             with suppress(EOFError):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -211,7 +211,7 @@
         return found, counts
 
     found, counts = trio.run(scenario)
-    assert found == [model.NotesHeard(1, b"x" * 257), model.NotesHeard(1, b"good")]
+    assert found == [model.NotesReceived(1, b"x" * 257), model.NotesReceived(1, b"good")]
     assert counts == {"stranger": 1, "heard": 2, "told": 2}
     assert Notebook().read(1, found[0].data, 0.0) == ()  # type: ignore[union-attr]
 
@@ -241,7 +241,7 @@
         return found, *counts
 
     found, old, new = trio.run(scenario)
-    assert found == [model.NotesHeard(1, b"%d" % n) for n in range(20)]
+    assert found == [model.NotesReceived(1, b"%d" % n) for n in range(20)]
     assert (old["heard"], old["told"], new["heard"]) == (0, 1, 20)
 
 
@@ -279,7 +279,7 @@
         monkeypatch.setattr("thistleshore.core.broker.invariant", lambda holds, name: holds)  # as a release build
         async with trio.open_nursery() as nursery:
             nursery.start_soon(broker.run)
-            await broker.inbox.send(model.HostsTold(ListKind.CACHED, ()))
+            await broker.inbox.send(model.HostListReceived(ListKind.CACHED, ()))
             streams = [model.Stream(str(n), n, trio.current_time() + 2) for n in range(2)]
             with monkeypatch.context() as broken:
                 broken.setattr(broker.brain, "on_request", lambda ask, now: 1 / 0)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -78,7 +78,7 @@
 
     def list_host(self, state: State = State.READY) -> None:
         line = model.HostLine(Entry(b"h", state), ("127.0.0.1", self.host))
-        self.broker.post(model.HostsTold(ListKind.FULL, (line,)))
+        self.broker.post(model.HostListReceived(ListKind.FULL, (line,)))
 
     async def ask(self, number: int = 1, more: bytes = b"") -> trio.SocketStream:
         client = await trio.open_tcp_stream("127.0.0.1", self.port)
@@ -111,7 +111,7 @@
             await trio.sleep(0.1)
             nursery.start_soon(tier.broker.run)
             await quiet()
-            assert tier.broker.open_streams == 0 and tier.broker.figures["withdrawn"] == crowd
+            assert tier.broker.open_streams == 0 and tier.broker.event_counts["withdrawn"] == crowd
             nursery.cancel_scope.cancel()
         return tier.heads
 
@@ -126,7 +126,7 @@
             await tier.start(nursery)
             nursery.start_soon(tier.broker.run)
             line = model.HostLine(Entry(b"h", State.DRAINING), ("127.0.0.1", tier.host))
-            tier.broker.post(model.HostsTold(ListKind.FULL, (line,)))
+            tier.broker.post(model.HostListReceived(ListKind.FULL, (line,)))
             client = await tier.ask()
             await tier.inbox.opened.wait()
             await trio.sleep(0.1)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -137,13 +137,13 @@
         "born_ms": 2000,
     }
     seq, kind, (line,) = messages.read_hosts({"seq": 4, "whole": False, "hosts": [host]}, NAMES, at_epoch(10.0))
-    assert (seq, kind, line.dial) == (4, ListKind.CHANGES, ("127.0.0.1", 5))
+    assert (seq, kind, line.address) == (4, ListKind.CHANGES, ("127.0.0.1", 5))
     assert line.entry[:6] == (b"s-1", State.DRAINING, 1, 0, 3, 12.0)
     for health, state in (("odd", State.DRAINING), ("left", State.GONE)):
         body = json.dumps({"seq": 4, "whole": False, "hosts": [{**host, "health": health}]}).encode()
         assert messages.read_hosts(body, NAMES, at_epoch(10.0))[2][0].entry.state is state
     lost = {"host": "s-1", "health": "left"}
-    assert messages.read_hosts({"seq": 4, "whole": False, "hosts": [lost]}, NAMES, at_epoch(0.0))[2][0].dial is None
+    assert messages.read_hosts({"seq": 4, "whole": False, "hosts": [lost]}, NAMES, at_epoch(0.0))[2][0].address is None
 
 
 # -- the downstream side
--- a/thistleshore/admin/listener.py
+++ b/thistleshore/admin/listener.py
@@ -10,7 +10,7 @@
 import trio
 
 from thistleshore.admin import codec
-from thistleshore.core.model import BanAsked, Event
+from thistleshore.core.model import BanRequested, Event
 from thistleshore.gate import BROKEN, NO_SOCKET_PAUSE
 from thistleshore.listening import Aside, patiently
 
@@ -108,7 +108,7 @@
             except ValueError as problem:
                 return codec.no(str(problem).replace("\n", " "))
             return codec.figures(told) if done else codec.no(str(told))
-        asked = BanAsked(call.host.encode(), call.name == "DETACH")
+        asked = BanRequested(call.host.encode(), call.name == "DETACH")
         with trio.move_on_after(ANSWER_WITHIN):
             await self.inbox.send(asked)
             await asked.done.wait()
--- a/thistleshore/beanstalkd/downstream.py
+++ b/thistleshore/beanstalkd/downstream.py
@@ -22,7 +22,7 @@
 from thistleshore.core.model import Event, FinalAnswer, LocalReply, Served, Stream, StreamOpened
 from thistleshore.core.model import StreamWithdrawn
 from thistleshore.gate import BROKEN, READ_WITHIN, Gate, peer_address
-from thistleshore.routing import Routed
+from thistleshore.routing import RouteDecision
 
 log = logging.getLogger("thistleshore")
 
@@ -110,7 +110,7 @@
             with trio.CancelScope(shield=True), trio.move_on_after(1.0):
                 await connection.lost()
 
-    async def take(self, tube: str, ttr: int, body: bytes, routed: Routed) -> int:
+    async def take(self, tube: str, ttr: int, body: bytes, routed: RouteDecision) -> int:
         """A complete put is a stream."""
         job = TubeJob(next(self.numbers), tube, body, float(max(1, ttr)))
         stream = Stream(
--- a/thistleshore/beanstalkd/upstream.py
+++ b/thistleshore/beanstalkd/upstream.py
@@ -16,7 +16,7 @@
 from oxbowarch.interface import Entry, ListKind, Report, State, Status
 from thistleshore.beanstalkd.codec import with_body
 from thistleshore.beanstalkd.model import HostSeat
-from thistleshore.core.model import Event, HostLine, HostReported, HostsTold, UpstreamHost, UpstreamOutcome
+from thistleshore.core.model import Event, HostLine, HostReported, HostListReceived, UpstreamHost, UpstreamOutcome
 from thistleshore.core.model import UpstreamRequest, UpstreamStarted
 from thistleshore.gate import BROKEN
 
@@ -117,7 +117,7 @@
     async def _tell(self, crew: Crew, state: State) -> None:
         name = crew.name.encode()
         entry = Entry(name, state, kind=crew.seat.kind, cell=crew.seat.bay, started_at=crew.came_up)
-        await self.inbox.send(HostsTold(ListKind.CHANGES, (HostLine(entry, crew.name),)))
+        await self.inbox.send(HostListReceived(ListKind.CHANGES, (HostLine(entry, crew.name),)))
 
     async def offer(self, name: str, slot: Slot) -> None:
         crew = self.crews[name]
@@ -168,7 +168,7 @@
             except trio.Cancelled:
                 session.abort()  # half a reply is on the wire: nothing sound can follow it
                 raise
-            request.wrote()
+            request.mark_written()
             slot.woken.set()
             slot.written.set()
             reservation.lapse.deadline = trio.current_time() + job.ttr
--- a/thistleshore/config/operator.py
+++ b/thistleshore/config/operator.py
@@ -28,7 +28,7 @@
 from thistleshore.contracts import Agreements, ContractTerms, MemberTerms, Retries
 from thistleshore.contracts.contract_set import Budget, Contract, ContractSet
 from thistleshore.contracts.exchange import Terms as ExchangeTerms
-from thistleshore.contracts.model import OTHERS
+from thistleshore.contracts.model import OTHER_MEMBERS
 from thistleshore.core.model import HostLine
 from thistleshore.distribution.model import Terms as DistributionTerms
 from thistleshore.distribution.plan import DistributionPlan
@@ -41,7 +41,7 @@
 from thistleshore.releases.plan import KeepPlan, ReleasesPlan
 from thistleshore.platform.messages import ListNames, Routes
 from thistleshore.platform.routed import HttpRouter
-from thistleshore.routing import Live, RouteTable, TableError, Terms
+from thistleshore.routing import ActiveRouteTable, RouteTable, RouteTableError, Terms
 from thistleshore.routing.table import KINDS
 
 AGREED = ("out", "register", "configuration")  # tables of `[fleet]` with readers of their own
@@ -311,7 +311,9 @@
                     seats[name] = HostSeat(service or 0, bay)
         return seats, known
 
-    def _http(self, contracts: Sequence[Contract], services: Mapping[str, int], live: Live | None) -> HttpPlan | None:
+    def _http(
+        self, contracts: Sequence[Contract], services: Mapping[str, int], live: ActiveRouteTable | None
+    ) -> HttpPlan | None:
         with self._section("http") as part:
             listen = part.address("listen")
         discovery = None
@@ -351,7 +353,7 @@
                     part.fault("name", f"{member.name!r} is named twice")
                 members.append(member)
         if others > 0.0:
-            members.append(MemberTerms(OTHERS, others, retries=usual))
+            members.append(MemberTerms(OTHER_MEMBERS, others, retries=usual))
         terms = [ContractTerms(name, services.get(c.service, 0), c.aim, c.stretch)
                  for name, c in zip(names, contracts, strict=True)]  # fmt: skip
         return Agreements(tuple(members), tuple(terms), max(1, len(services)), balancers, waiting, size, each)
@@ -383,9 +385,10 @@
             peers = part.addresses("peers")
             usual = ExchangeTerms()
             terms = usual._replace(
-                every=part.number("every", usual.every, 0.01), lease=part.number("lease", usual.lease, 0.05)
+                message_interval=part.number("every", usual.message_interval, 0.01),
+                lease=part.number("lease", usual.lease, 0.05),
             )
-            if terms.lease < 3 * terms.every:
+            if terms.lease < 3 * terms.message_interval:
                 part.fault("lease", "at least three times `every`: one lost message must not end it")
             if len(peers) != balancers:
                 part.fault("peers", f"{balancers} are wanted, as many as `balancers` says, not {len(peers)}")
@@ -491,7 +494,7 @@
 
     # -- the rules ----------------------------------------------------------------------------
 
-    def _live(self, contracts: Sequence[Contract]) -> Live | None:
+    def _live(self, contracts: Sequence[Contract]) -> ActiveRouteTable | None:
         """The route table; None where something is wrong with it."""
         with self._section("expressions") as part:
             limits = Limits(part.whole("cost", Limits().expression, 1), part.whole("total", Limits().total, 1))
@@ -511,8 +514,8 @@
                 rules.append(Rule(name, when, given))
         terms = [Terms(c.name or c.job_class, c.job_class, c.team, c.deadline, c.path, c.tube) for c in contracts]
         try:
-            return Live(RouteTable(terms, rules, request_environment(sets), limits))
-        except TableError as problem:
+            return ActiveRouteTable(RouteTable(terms, rules, request_environment(sets), limits))
+        except RouteTableError as problem:
             self.faults += map(str, problem.problems)
             return None
 
--- a/thistleshore/config/platform.py
+++ b/thistleshore/config/platform.py
@@ -29,7 +29,7 @@
     from thistleshore.distribution.plan import DistributionPlan
     from thistleshore.fleet.plan import FleetPlan
     from thistleshore.releases.plan import KeepPlan, ReleasesPlan
-    from thistleshore.routing import Live
+    from thistleshore.routing import ActiveRouteTable
 
 SOCKETS = 1024  # where the platform names no limit
 SOCKETS_SPARE = 64  # for the listener, discovery, the log and the interpreter's own files
@@ -91,7 +91,7 @@
     idle_most: float
     sockets: int
     streams_most: int = 512
-    live: Live | None = None  # the route table in force, of an operator's file
+    live: ActiveRouteTable | None = None  # the route table in force, of an operator's file
     agreements: Agreements | None = None  # None: no shares are kept
     exchange: ExchangePlan | None = None
     metrics: Address | None = None
--- a/thistleshore/contracts/carrier.py
+++ b/thistleshore/contracts/carrier.py
@@ -8,12 +8,12 @@
 
 import trio
 
-from thistleshore.contracts.exchange import BYTES_MOST
+from thistleshore.contracts.exchange import MAX_DATAGRAM_BYTES
 
 log = logging.getLogger("thistleshore")
 
 
-class Link:
+class ExchangeLink:
     """One instance's socket.
 
     `beat(now)` gives what to send, by number of the peer; `deliver(data)` takes what comes.
@@ -23,12 +23,12 @@
         self,
         listen: tuple[str, int],
         peers: Sequence[tuple[str, int]],
-        every: float,
-        beat: Callable[[float], list[tuple[int, bytes]]],
+        interval: float,
+        datagrams_due: Callable[[float], list[tuple[int, bytes]]],
         deliver: Callable[[bytes], Awaitable[None]],
     ) -> None:
-        self.listen, self.peers, self.every = listen, tuple(peers), every
-        self.beat, self.deliver = beat, deliver
+        self.listen, self.peers, self.interval = listen, tuple(peers), interval
+        self.datagrams_due, self.deliver = datagrams_due, deliver
         self.counts: Counter[str] = Counter()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -44,19 +44,19 @@
 
     async def _send(self, socket: trio.socket.SocketType) -> None:
         while True:
-            for number, data in self.beat(trio.current_time()):
+            for number, data in self.datagrams_due(trio.current_time()):
                 try:
                     await socket.sendto(data, self.peers[number])
                     self.counts["sent"] += 1
                 except OSError:  # its host is down, or no buffer is left: the next message says all again
                     self.counts["unsent"] += 1
-            await trio.sleep(self.every)
+            await trio.sleep(self.interval)
 
     async def _receive(self, socket: trio.socket.SocketType) -> None:
         while True:
             try:
                 # One byte more than is allowed, so that what is longer is seen to be.
-                data, sender = await socket.recvfrom(BYTES_MOST + 1)
+                data, sender = await socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # an ICMP answer to one of ours: that peer is down
                 self.counts["unreachable"] += 1
                 await trio.sleep(0)
--- a/thistleshore/contracts/exchange.py
+++ b/thistleshore/contracts/exchange.py
@@ -30,10 +30,10 @@
 
 from oxbowarch.interface import Report
 from thistleshore.contracts.model import ShareKey
-from thistleshore.contracts.sharing import fill
+from thistleshore.contracts.sharing import share_max_min
 
 VERSION = 1
-BYTES_MOST = 256
+MAX_DATAGRAM_BYTES = 256
 # Version, from, to, instances, fingerprint of the agreements, number, heard, first share, how many shares.
 HEAD = struct.Struct("!BBBBHQQHB")
 LIFE = 1 << 32  # numbers of one life; the next begins above them all
@@ -49,11 +49,11 @@
 class Terms(NamedTuple):
     """Times in seconds."""
 
-    every: float = 0.1  # between two messages to a peer
+    message_interval: float = 0.1  # between two messages to a peer
     lease: float = 1.0
     drift: float = 0.01  # by how much clocks may run apart, of a lease
-    keep: float = 0.2  # of its equal part that an instance never cedes
-    margin: float = 1.3  # what it seems to need is rounded up so before the rest is ceded
+    reserved_part: float = 0.2  # of its equal part that an instance never cedes
+    demand_margin: float = 1.3  # what it seems to need is rounded up so before the rest is ceded
 
 
 class _Ceded(NamedTuple):
@@ -67,11 +67,11 @@
 class _Peer:
     """What is known of one other instance."""
 
-    __slots__ = ("ceded", "demand", "heard", "out", "sent", "taken", "told_at")
+    __slots__ = ("ceded", "demand", "heard", "out", "sent", "taken", "received_at")
 
     def __init__(self, shares: int) -> None:
         self.heard = 0  # of its messages the latest
-        self.told_at = float("-inf")  # when it was last heard
+        self.received_at = float("-inf")  # when it was last heard
         self.demand = [0.0] * shares  # parts of the guarantee that it asks for
         self.taken: list[tuple[int, float]] = [(0, float("-inf"))] * shares  # steps ceded to us, and until when
         self.out: dict[int, tuple[int, float]] = {}  # its attempts out, by host, and when it said so
@@ -118,21 +118,21 @@
     # -- what is in use -------------------------------------------------------------------------
 
     @property
-    def equal(self) -> float:
+    def equal_part(self) -> float:
         return 1.0 / self.instances
 
     def part(self, share: ShareKey, now: float) -> float:
         """The part of a share's guarantee that this instance may use now, 0 to 1."""
         number = self.numbers.get(share)
         if number is None:
-            return self.equal
-        return max(0.0, self.equal * (1.0 - self._given(number, now) + self._got(number, now)))
+            return self.equal_part
+        return max(0.0, self.equal_part * (1.0 - self._given(number, now) + self._got(number, now)))
 
     def _given(self, index: int, now: float) -> float:
         """Of the equal part, what may be in others' use."""
         if now < self._born + self.terms.lease:
             # What an earlier life of this instance ceded is not known, and may still be in use.
-            return 1.0 - self.terms.keep
+            return 1.0 - self.terms.reserved_part
         return sum(self._ceded(peer, index, now) for peer in self._peers.values()) * CEDE_STEP
 
     def _ceded(self, peer: _Peer, index: int, now: float) -> int:
@@ -153,9 +153,9 @@
             * CEDE_STEP
         )
 
-    def silent(self, now: float) -> list[int]:
+    def silent_peers(self, now: float) -> list[int]:
         """Peers that have not been heard for a lease."""
-        return [n for n, peer in self._peers.items() if now - peer.told_at > self.terms.lease]
+        return [n for n, peer in self._peers.items() if now - peer.received_at > self.terms.lease]
 
     # -- messages out ---------------------------------------------------------------------------
 
@@ -165,11 +165,11 @@
             if share in self.numbers:
                 self._demand[self.numbers[share]] = demand
 
-    def on_out(self, out: Mapping[bytes, int]) -> None:
+    def on_attempts_in_flight(self, out: Mapping[bytes, int]) -> None:
         """How many attempts of ours are out, by host."""
         self._out = [(crc32(host), min(255, count)) for host, count in sorted(out.items())]
 
-    def beside(self, host: bytes, now: float) -> int | None:
+    def peers_in_flight(self, host: bytes, now: float) -> int | None:
         """Attempts that the others have out at a host, as far as they said so lately; None where any is silent."""
         number, total = crc32(host), 0
         for peer in self._peers.values():
@@ -181,10 +181,10 @@
 
     def report(self, host: bytes, size: float, out: int, now: float) -> Report | None:
         """What that says of a host of so many slots where so many attempts are ours; None where nothing is known."""
-        beside = self.beside(host, now)
-        if beside is None or not size:
+        peers_in_flight = self.peers_in_flight(host, now)
+        if peers_in_flight is None or not size:
             return None
-        return Report(max(0.0, size - out - beside), 0.0, float(out + beside))
+        return Report(max(0.0, size - out - peers_in_flight), 0.0, float(out + peers_in_flight))
 
     def due(self, now: float) -> list[tuple[int, bytes]]:
         """The messages to send now, one for each peer; where shares do not fit one, they take turns."""
@@ -192,7 +192,7 @@
         rows = range(first, min(first + ROWS_MOST, len(self.shares)))
         self._turn = rows.stop if rows.stop < len(self.shares) else 0
         ceding = {index: self._cede(index, now) for index in rows}
-        hosts = self._hosts(BYTES_MOST - HEAD.size - len(rows) * ROW.size)
+        hosts = self._hosts(MAX_DATAGRAM_BYTES - HEAD.size - len(rows) * ROW.size)
         told = []
         for number, peer in self._peers.items():
             self._number += 1
@@ -225,17 +225,20 @@
         """Steps of the equal part to give to each peer: by what it lacks, of what is spare here."""
         if now < self._born + self.terms.lease:
             return {}  # what an earlier life gave may still be in use, beside which nothing more may go
-        heard = {n: peer for n, peer in self._peers.items() if now - peer.told_at <= self.terms.lease}
-        need = self._demand[index] * self.terms.margin / self.equal
-        spare = min(1.0 - self.terms.keep, 1.0 - need)
-        lacking = {n: max(0.0, peer.demand[index] * self.terms.margin / self.equal - 1.0) for n, peer in heard.items()}
+        heard = {n: peer for n, peer in self._peers.items() if now - peer.received_at <= self.terms.lease}
+        need = self._demand[index] * self.terms.demand_margin / self.equal_part
+        spare = min(1.0 - self.terms.reserved_part, 1.0 - need)
+        lacking = {
+            n: max(0.0, peer.demand[index] * self.terms.demand_margin / self.equal_part - 1.0)
+            for n, peer in heard.items()
+        }
         if spare <= 0.0 or not any(lacking.values()):
             return {}
         # Beside what is out already under older leases, which may not have been taken back.
         others = {n: self._ceded(peer, index, now) for n, peer in self._peers.items()}
-        parts = fill(spare, list(lacking.values()), [1.0] * len(lacking))
+        parts = share_max_min(spare, list(lacking.values()), [1.0] * len(lacking))
         wanted = {n: int(part / CEDE_STEP) for n, part in zip(lacking, parts, strict=True)}
-        most = int((1.0 - self.terms.keep) / CEDE_STEP)
+        most = int((1.0 - self.terms.reserved_part) / CEDE_STEP)
         room = most - sum(others.values())
         told = {}
         for n, steps in wanted.items():
@@ -249,7 +252,7 @@
 
     def on_datagram(self, data: bytes, now: float) -> bool:
         """Take a message in; one that is garbage, old or not for us is counted and changes nothing."""
-        if not HEAD.size <= len(data) <= BYTES_MOST:
+        if not HEAD.size <= len(data) <= MAX_DATAGRAM_BYTES:
             return self._ignore("garbage")
         version, sender, to, instances, names, number, heard, first, count = HEAD.unpack_from(data)
         end = HEAD.size + count * ROW.size
@@ -270,7 +273,7 @@
         peer = self._peers[sender]
         if number <= peer.heard:
             return self._ignore("old")  # repeated, or overtaken by a later one
-        peer.heard, peer.told_at = number, now
+        peer.heard, peer.received_at = number, now
         sent = peer.sent.get(heard)
         until = sent + self.terms.lease * (1.0 - self.terms.drift) if sent is not None else float("-inf")
         for index, (demand, steps) in enumerate(rows, first):
--- a/thistleshore/contracts/ledger.py
+++ b/thistleshore/contracts/ledger.py
@@ -26,7 +26,7 @@
 from typing import NamedTuple
 
 from thistleshore.contracts.model import (
-    OTHERS,
+    OTHER_MEMBERS,
     Agreements,
     ContractTerms,
     MemberTerms,
@@ -36,7 +36,7 @@
     Stamp,
 )
 from thistleshore.contracts.retry_budget import CombinedRetryBudget, RetryBudget
-from thistleshore.contracts.sharing import fill, lend
+from thistleshore.contracts.sharing import share_max_min, lend
 
 REFRESH_EVERY, REFRESH_PER_SHARE = 0.1, 1e-4  # s between two computations, and at least so much for each share
 DEMAND_FADE = log(2) / 2.0  # 1/s; demand of two seconds ago counts half
@@ -61,7 +61,7 @@
         "counts",
         "demand",
         "demand_at",
-        "fill",
+        "allotment",
         "lately",
         "member",
         "over",
@@ -74,7 +74,7 @@
 
     def __init__(self, member: _Member, contract: ContractTerms, now: float) -> None:
         self.member, self.contract = member, contract
-        self.fill = 0.0  # slots that flow into the bucket
+        self.allotment = 0.0  # slots that flow into the bucket
         self.bucket = inf  # until the first guarantee is known
         self.refilled_at = now
         self.demand, self.demand_at = 0.0, now  # decayed slot-seconds asked for
@@ -104,7 +104,7 @@
 
     def cap(self) -> float:
         """What a bucket holds."""
-        return max(self.member.terms.burst * self.fill, self.member.terms.jobs * min(self.run, 2 * self.usual))
+        return max(self.member.terms.burst * self.allotment, self.member.terms.jobs * min(self.run, 2 * self.usual))
 
 
 class _Member:
@@ -221,12 +221,12 @@
             member = self.agreements.members[m]
             room = member.share * self.agreements.scale * self._slots(service)
             weights = [member.weights.get(state.contract.name, 1.0) for _, state in shares]
-            parts = fill(room, [DEMAND_MARGIN * state.asked(now) for _, state in shares], weights)
+            parts = share_max_min(room, [DEMAND_MARGIN * state.asked(now) for _, state in shares], weights)
             spare, heavy = max(0.0, room - sum(parts)), sum(weights) or 1.0
             for (key, state), part, weight in zip(shares, parts, weights, strict=True):
                 self._refill(state, now)
-                state.fill = (part + spare * weight / heavy) * self.part(key)
-                if state.fill <= 0.0 < self._slots(service):
+                state.allotment = (part + spare * weight / heavy) * self.part(key)
+                if state.allotment <= 0.0 < self._slots(service):
                     state.bucket = min(state.bucket, 0.0)  # no share: what was open while nothing was known ends
 
     def _service(self, key: ShareKey) -> int:
@@ -237,8 +237,8 @@
 
     def _refill(self, state: _ShareState, now: float) -> None:
         # A clock that jumped back fills nothing; one that jumped ahead fills a burst, which is all a bucket holds.
-        if state.fill:
-            state.bucket = min(state.cap(), state.bucket + state.fill * max(0.0, now - state.refilled_at))
+        if state.allotment:
+            state.bucket = min(state.cap(), state.bucket + state.allotment * max(0.0, now - state.refilled_at))
         state.refilled_at = now
 
     def _over_ceiling(self, member: _Member, service: int, work: float, now: float) -> bool:
@@ -269,7 +269,7 @@
         has no agreement counts as OTHERS, or, where that has none, is beyond share whatever it asks.
         """
         self._refresh(now)
-        name = member if member in self._numbers else OTHERS
+        name = member if member in self._numbers else OTHER_MEMBERS
         number = self._numbers.get(name, -1)
         state = self._states.get(ShareKey(number, contract)) or self._uncovered(contract, now)
         self._refill(state, now)
@@ -389,7 +389,7 @@
         """The state of streams without an agreement."""
         return self._states.setdefault(
             ShareKey(-1, contract),
-            _ShareState(_Member(MemberTerms(OTHERS, 0.0), now), self.agreements.contracts[contract], now),
+            _ShareState(_Member(MemberTerms(OTHER_MEMBERS, 0.0), now), self.agreements.contracts[contract], now),
         )
 
     def on_sent(self, stream: int, now: float) -> None:
@@ -411,7 +411,7 @@
         found.worked += worked
         if not found.stamp.beyond:  # what is borrowed is nobody's guarantee, and is not paid back
             self._refill(state, now)
-            state.bucket = max(-DEBT_MOST * state.fill, state.bucket - (worked - found.charged))
+            state.bucket = max(-DEBT_MOST * state.allotment, state.bucket - (worked - found.charged))
             found.charged = 0.0  # a further attempt is paid whole
 
     def on_answered(self, stream: int, kind: str, now: float) -> None:
@@ -444,10 +444,10 @@
         """Let some give way where more waits than the bounds allow."""
         states = [state for state in self._backlogged if state.waiting]
         while states:
-            full = [state for state in states if len(state.waiting) > self.agreements.waiting_each]
+            full = [state for state in states if len(state.waiting) > self.agreements.max_waiting_per_share]
             size = sum(sum(state.waiting.values()) for state in states)
-            over = sum(len(state.waiting) for state in states) > self.agreements.waiting
-            if not full and not over and size <= self.agreements.waiting_bytes:
+            over = sum(len(state.waiting) for state in states) > self.agreements.max_waiting
+            if not full and not over and size <= self.agreements.max_waiting_bytes:
                 return
             # Whoever has been over its share longest; of that the latest, which has waited least.
             longest = min(full or states, key=lambda state: state.over)
@@ -480,9 +480,11 @@
                 inf if (c := self.agreements.members[key.member].ceiling) is None else c * self._slots(service)
                 for key in here
             ]
-            lent = lend(self._slots(service), [state.fill for state in states], asked, ceilings)
+            lent = lend(self._slots(service), [state.allotment for state in states], asked, ceilings)
             for key, state, allotted, demand in zip(here, states, lent, asked, strict=True):
-                told.append(Guarantee(key, state.member.terms.name, state.contract.name, state.fill, allotted, demand))
+                told.append(
+                    Guarantee(key, state.member.terms.name, state.contract.name, state.allotment, allotted, demand)
+                )
         return told
 
     def figures(self, now: float) -> list[ShareFigures]:
@@ -495,7 +497,7 @@
                 **state.counts,
                 retries_paid=state.retries.spent,
                 budget_left=CombinedRetryBudget(state.retries, state.member.retries).left(now),
-                allotment=state.fill,
+                allotment=state.allotment,
                 demand=state.asked(now),
                 waiting=len(state.waiting),
             )
--- a/thistleshore/contracts/model.py
+++ b/thistleshore/contracts/model.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-OTHERS = ""  # the member of streams whose member the file does not name
+OTHER_MEMBERS = ""  # the member of streams whose member the file does not name
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,9 +59,9 @@
     contracts: tuple[ContractTerms, ...]
     services: int = 1
     instances: int = 1  # that share the pool
-    waiting: int = 256  # streams that wait, in all
-    waiting_bytes: int = 4 * 1024 * 1024
-    waiting_each: int = 64  # of one member under one contract
+    max_waiting: int = 256  # streams that wait, in all
+    max_waiting_bytes: int = 4 * 1024 * 1024
+    max_waiting_per_share: int = 64  # of one member under one contract
 
     @property
     def share_keys(self) -> tuple[ShareKey, ...]:
--- a/thistleshore/contracts/pool.py
+++ b/thistleshore/contracts/pool.py
@@ -25,7 +25,7 @@
     return found
 
 
-def room(workers: Iterable[Worker], services: int, now: float) -> list[float]:
+def free_slots(workers: Iterable[Worker], services: int, now: float) -> list[float]:
     """Those of the slots that are free, as far as reports and own attempts tell; less than 0 where attempts wait."""
     found = [0.0] * services
     for worker in _counted(workers, services, now):
--- a/thistleshore/contracts/sharing.py
+++ b/thistleshore/contracts/sharing.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 
-def fill(room: float, demands: Sequence[float], weights: Sequence[float]) -> list[float]:
+def share_max_min(room: float, demands: Sequence[float], weights: Sequence[float]) -> list[float]:
     """How much each gets of the room: nobody more than asked for, and what is left by weight.
 
     Weighted max-min: no part can grow without one that is smaller by weight shrinking.  Parts sum to the room, or to
@@ -35,7 +35,7 @@
     wanted = [min(demand, ceiling) for demand, ceiling in zip(demands, ceilings, strict=True)]
     first = [min(guarantee, want) for guarantee, want in zip(guarantees, wanted, strict=True)]
     least = 0.01 * max((guarantee for guarantee in guarantees if guarantee > 0.0), default=1.0)
-    more = fill(
+    more = share_max_min(
         room - sum(first),
         [want - part for want, part in zip(wanted, first, strict=True)],
         [max(guarantee, least) for guarantee in guarantees],
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -17,7 +17,7 @@
 from oxbowarch.interface import Send, State, Status, Tell, Timer, Watch
 from oxbowarch.notes import Notebook
 from thistleshore.core import model
-from thistleshore.core.figures import Figures
+from thistleshore.core.figures import ProcessFigures
 from thistleshore.core.host_log import HostLog
 from thistleshore.invariants import invariant
 
@@ -41,12 +41,12 @@
 
     def __init__(self, brain: Brain, classes: tuple[str, ...] = ()) -> None:
         self.brain = brain
-        self.record = Figures()
+        self.process_figures = ProcessFigures()
         self.name_classes(classes)
         self.ledger: Ledger | None = None
         self.exchange: Exchange | None = None
-        self.link_counts: Counter[str] = Counter()  # datagrams of the exchange, by fate
-        self.carriers: dict[type, model.UpstreamFront] = {}  # by what a host's `dial` is
+        self.exchange_datagram_counts: Counter[str] = Counter()  # datagrams of the exchange, by fate
+        self.carriers: dict[type, model.UpstreamFront] = {}  # by the type of a host address
         self.notebook = Notebook()
         self.on_attempt: Callable[[model.UpstreamRequest, Status, float], None] | None = None  # as each has ended
         self.send_notes: Callable[[bytes, tuple[int, ...] | None], None] | None = None  # to some dispatchers, or to all
@@ -54,8 +54,8 @@
         self._urgent: deque[model.Event] = deque()
         self.hosts: dict[bytes, model.UpstreamHost] = {}
         self.version: int | None = None  # of discovery's list that these are
-        self.listed = trio.Event()  # a list of upstream hosts is in the module
-        self.figures: Counter[str] = Counter()
+        self.hosts_listed = trio.Event()  # a list of upstream hosts is in the module
+        self.event_counts: Counter[str] = Counter()
         self.host_log = HostLog(brain.set.cold_span)
         self._streams: dict[int, model.Stream] = {}
         self._out: dict[int, list[model.UpstreamRequest]] = {}  # every upstream request of a stream, by number
@@ -68,17 +68,17 @@
 
     def name_classes(self, names: tuple[str, ...]) -> None:
         """What the settings call the classes, by their numbers."""
-        self._counts = [self.record.of(name) for name in names]
+        self._counts = [self.process_figures.of(name) for name in names]
 
     @property
     def open_streams(self) -> int:
         return len(self._streams)
 
-    def told_figures(self) -> dict[str, Any]:
+    def figures_snapshot(self) -> dict[str, Any]:
         """The figures as of now; what hosts come to is read from the module."""
         now, brain = trio.current_time(), self.brain
         avoided = (name in brain.banned or now < brain.workers[name].shunned_until for name in self.hosts)
-        return self.record.told(len(self.hosts), sum(avoided))
+        return self.process_figures.snapshot(len(self.hosts), sum(avoided))
 
     async def run(self) -> None:
         heappush(self._timers, (trio.current_time() + FIGURES_EVERY, FIGURES))
@@ -103,7 +103,7 @@
         """
         self._urgent.append(event)
         with suppress(trio.WouldBlock):  # full: the broker does not sleep, and looks here first
-            self.inbox.send_nowait(model.Posted())
+            self.inbox.send_nowait(model.UrgentEventPosted())
 
     async def _next(self) -> model.Event | None:
         """The next event, or None when a timer is due."""
@@ -122,17 +122,17 @@
         if token == FIGURES:
             heappush(self._timers, (now + FIGURES_EVERY, FIGURES))
             open_now = sum(not stream.over for stream in self._streams.values())
-            invariant(self.record.outstanding == open_now, "streams that are open are counted")
+            invariant(self.process_figures.outstanding == open_now, "streams that are open are counted")
             self._log_figures()
             return []
         return self.brain.on_timer(token, now)
 
     def _log_figures(self) -> None:
-        self.host_log.look(trio.current_time())
-        figures = self.figures + self.notebook.counts
+        self.host_log.log_finished_first_windows(trio.current_time())
+        figures = self.event_counts + self.notebook.counts
         figures.update({f"refused_{reason.value}": n for reason, n in self.brain.refusals.items()})
         log.info("figures: open=%d %s", len(self._streams), " ".join(f"{k}={n}" for k, n in figures.items()))
-        if failing := self.host_log.interval():
+        if failing := self.host_log.take_failure_summary():
             log.info("attempts at hosts that failed some: %s", failing)
 
     def _rescue(self, event: model.Event | None) -> None:
@@ -147,7 +147,7 @@
     def _handle(self, event: model.Event, now: float) -> list[Action]:
         if isinstance(event, model.UpstreamEnded):
             return self._ended(event, now)
-        if isinstance(event, model.Posted):
+        if isinstance(event, model.UrgentEventPosted):
             return []  # what was posted is told next
         if isinstance(event, model.StreamOpened):
             return self._opened(event.stream, now)
@@ -156,29 +156,29 @@
             return self.brain.on_started(event.request.stream.id, event.request.number, now)
         if isinstance(event, model.StreamWithdrawn):
             return self._withdrawn(event.stream, now)
-        if isinstance(event, model.NotesHeard):
+        if isinstance(event, model.NotesReceived):
             notes = self.notebook.read(event.peer, event.data, now)
             return self.brain.on_told(event.peer, notes, now) if notes else []
-        if isinstance(event, model.PeerHeard):
+        if isinstance(event, model.PeerDatagramReceived):
             return self._on_peer_datagram(event.data, now)
         if isinstance(event, model.HostReported):
             return self.brain.on_report(event.host, event.report, now)
-        if isinstance(event, model.BanAsked):
+        if isinstance(event, model.BanRequested):
             return self._ban(event, now)
-        if isinstance(event, model.SettingsTold):
+        if isinstance(event, model.SettingsChanged):
             self.name_classes(event.names)
             self.host_log.window = event.settings.cold_span
             return self.brain.on_settings(event.settings, now)
         return self._update_hosts(event, now)
 
-    def _ban(self, event: model.BanAsked, now: float) -> list[Action]:
+    def _ban(self, event: model.BanRequested, now: float) -> list[Action]:
         """A host that the list has dropped can be called back; one that nobody has heard of cannot be taken out."""
         host = self.hosts.get(event.host)
         event.known = event.known or host is not None or event.host in self.brain.banned
         actions = self.brain.on_ban(event.host, event.out, now) if event.known else []
         if host is not None and host.banned != event.out:
             host.banned = event.out
-            host.life += 1  # it is restarted meanwhile: connections to what it was are of no use
+            host.generation += 1  # it is restarted meanwhile: connections to what it was are of no use
             self._close_idle(host)
         event.done.set()
         return actions
@@ -187,10 +187,10 @@
         stream.id = next(self._numbers)
         self._streams[stream.id] = stream
         self._out[stream.id] = []
-        self.figures["taken"] += 1
+        self.event_counts["taken"] += 1
         if stream.job_class < len(self._counts):
             stream.counts = self._counts[stream.job_class]
-        self.record.outstanding += 1
+        self.process_figures.outstanding += 1
         ask = Request(
             stream.id,
             stream.job_class,
@@ -225,8 +225,8 @@
             return []  # the answer crossed with the downstream's going away
         stream.withdrawn = True
         stream.answered.set()
-        self.figures["withdrawn"] += 1
-        self.record.outstanding -= 1
+        self.event_counts["withdrawn"] += 1
+        self.process_figures.outstanding -= 1
         if self.ledger is not None:
             self.ledger.on_answered(stream.id, "withdrawn", now)
         actions = self.brain.on_withdrawn(stream.id, now)
@@ -245,8 +245,8 @@
         request, outcome = event.request, event.outcome
         stream = request.stream
         self._left[stream.id] -= 1
-        self.figures[outcome.status.value] += 1
-        self.host_log.on_ended(request.host.id, outcome.status)
+        self.event_counts[outcome.status.value] += 1
+        self.host_log.on_attempt_ended(request.host.id, outcome.status)
         if self.on_attempt is not None:
             self.on_attempt(request, outcome.status, event.took)
         if self.ledger is not None:
@@ -280,9 +280,9 @@
         out = {
             host.id: self.brain.workers[host.id].out
             for host in self.hosts.values()
-            if isinstance(host.dial, tuple) and host.id in self.brain.workers
+            if isinstance(host.address, tuple) and host.id in self.brain.workers
         }
-        self.exchange.on_out(out)
+        self.exchange.on_attempts_in_flight(out)
         return self.exchange.due(now)
 
     def _on_peer_datagram(self, data: bytes, now: float) -> list[Action]:
@@ -295,7 +295,7 @@
                     actions += self.brain.on_report(name, report, now)
         return actions
 
-    def _update_hosts(self, event: model.HostsTold, now: float) -> list[Action]:
+    def _update_hosts(self, event: model.HostListReceived, now: float) -> list[Action]:
         named = {line.entry.worker for line in event.lines}
         before = {host.id: (host.entry.state.value, host.entry.started_at) for host in self.hosts.values()}
         self.version = event.version if event.version is not None else self.version
@@ -307,30 +307,30 @@
             known = self.hosts.get(line.entry.worker)
             if known is None:
                 self.hosts[line.entry.worker] = model.UpstreamHost(
-                    line.entry.worker, line.dial, line.entry, banned=line.entry.worker in self.brain.banned
+                    line.entry.worker, line.address, line.entry, banned=line.entry.worker in self.brain.banned
                 )
                 continue
-            if known.dial != line.dial or known.entry.started_at != line.entry.started_at:
+            if known.address != line.address or known.entry.started_at != line.entry.started_at:
                 self._close_idle(known)  # connections to what it was before are of no use
-                known.life += 1
-                known.dial = line.dial
+                known.generation += 1
+                known.address = line.address
             known.entry = line.entry
         for host in self.hosts.values():
             if not host.ready:
                 self._close_idle(host)
-        states = {host.id: (host.entry.state, host.life) for host in self.hosts.values()}
+        states = {host.id: (host.entry.state, host.generation) for host in self.hosts.values()}
         if states != self._states:  # weights change every second, and would bury what matters
             ready = sum(host.ready for host in self.hosts.values())
             log.info("hosts told: %s list, %d hosts, %d ready", event.kind.value, len(states), ready)
         self._states = states
-        self.host_log.look(now)
+        self.host_log.log_finished_first_windows(now)
         self.host_log.on_hosts(before, self.hosts.values(), now)
         entries = tuple(line.entry for line in event.lines)
         self.notebook.list_names(entries, event.kind is not ListKind.CHANGES)
         actions = self.brain.on_list(event.kind, entries, now)
         # Hosts that are gone are forgotten, or a year of deploys would fill the memory; the module keeps its own.
         self.hosts = {name: host for name, host in self.hosts.items() if host.entry.state is not State.GONE}
-        self.listed.set()
+        self.hosts_listed.set()
         return actions
 
     def _carry_out(self, actions: list[Action], now: float) -> None:
@@ -372,7 +372,7 @@
             deadline = min(deadline, now + action.timeout)
         request = model.UpstreamRequest(stream, len(self._out[stream.id]), host, deadline)
         self._out[stream.id].append(request)
-        self.host_log.on_begun(host.id, now)
+        self.host_log.on_attempt_started(host.id, now)
         self._left[stream.id] += 1
         if self.ledger is not None:
             self.ledger.on_sent(stream.id, now)
@@ -381,7 +381,7 @@
     async def _attempt(self, request: model.UpstreamRequest) -> None:
         begun = trio.current_time()
         # Out of time before it began, or for a host that is forgotten: nothing was sent, and that is no news of it.
-        late = request.deadline <= begun or request.host.dial is None
+        late = request.deadline <= begun or request.host.address is None
         outcome = model.UpstreamOutcome(Status.MOOT) if late else None
         with request.scope:
             request.scope.deadline = request.deadline
@@ -398,10 +398,10 @@
         await self.inbox.send(model.UpstreamEnded(request, outcome, trio.current_time() - begun))
 
     def _carrier(self, host: model.UpstreamHost) -> model.UpstreamFront:
-        return self.carriers[type(host.dial)]
+        return self.carriers[type(host.address)]
 
     def _close_idle(self, host: model.UpstreamHost) -> None:
-        if type(host.dial) in self.carriers:
+        if type(host.address) in self.carriers:
             self._carrier(host).close_idle(host)
 
     def _cancel(self, action: Cancel) -> None:
@@ -419,10 +419,10 @@
         if invariant(not stream.over, "a stream has one final answer"):
             stream.answer = answer
             stream.answered.set()
-            self.figures[type(answer).__name__] += 1
+            self.event_counts[type(answer).__name__] += 1
             counted = COUNTED[type(answer)]
             setattr(stream.counts, counted, getattr(stream.counts, counted) + 1)
-            self.record.outstanding -= 1
+            self.process_figures.outstanding -= 1
             self._call_off_unsent(stream)
             if self.ledger is not None:
                 self.ledger.on_answered(stream.id, ANSWERS[type(answer)], trio.current_time())
--- a/thistleshore/core/figures.py
+++ b/thistleshore/core/figures.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class ProcessFigures:
     """One record for the admin interface and the page of metrics."""
 
     results: dict[str, ClassFigures] = field(default_factory=dict)  # by class; one that is dropped keeps what it has
@@ -29,7 +29,7 @@
         """The figures of a class, begun where there are none yet."""
         return self.results.setdefault(name, ClassFigures())
 
-    def told(self, discovered: int, ejected: int) -> dict[str, Any]:
+    def snapshot(self, discovered: int, ejected: int) -> dict[str, Any]:
         """As the admin interface tells them; what is known of hosts is the broker's to say."""
         return {
             "results": {name: asdict(counts) for name, counts in self.results.items()},
--- a/thistleshore/core/host_log.py
+++ b/thistleshore/core/host_log.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger("thistleshore")
 
-LINES_MOST = 20  # of a list that changes many hosts at once, and of hosts with failures in a line of figures
+MAX_LOG_LINES = 20  # of a list that changes many hosts at once, and of hosts with failures in a line of figures
 SENDS_KEPT = 128  # times of attempts that are kept for one host
 
 
@@ -41,11 +41,11 @@
         self._records: dict[bytes, HostRecord] = {}
         self._warming: set[bytes] = set()
 
-    def on_begun(self, host: bytes, now: float) -> None:
+    def on_attempt_started(self, host: bytes, now: float) -> None:
         """An attempt begins at that host."""
         self._records.setdefault(host, HostRecord()).begun.append(now)
 
-    def on_ended(self, host: bytes, status: Status) -> None:
+    def on_attempt_ended(self, host: bytes, status: Status) -> None:
         """An attempt at that host has ended."""
         record = self._records.setdefault(host, HostRecord())
         record.ended[status] += 1
@@ -62,10 +62,10 @@
                 lines.append(f"host {name}: {state} -> {entry.state.value}")
             if entry.started_at != started_at and 0.0 < now - entry.started_at < self.window:
                 lines.append(f"host {name}: {self._start(host.id, entry.started_at, now)}")
-        for line in lines[:LINES_MOST]:
+        for line in lines[:MAX_LOG_LINES]:
             log.info("%s", line)
-        if len(lines) > LINES_MOST:
-            log.info("hosts: %d further changes", len(lines) - LINES_MOST)
+        if len(lines) > MAX_LOG_LINES:
+            log.info("hosts: %d further changes", len(lines) - MAX_LOG_LINES)
         listed = {host.id for host in hosts}
         self._records = {name: kept for name, kept in self._records.items() if name in listed}
 
@@ -78,7 +78,7 @@
         since = sum(at >= started_at for at in record.begun)
         return f"started {now - started_at:.3f} s ago; {since} attempts begun there since"
 
-    def look(self, now: float) -> None:
+    def log_finished_first_windows(self, now: float) -> None:
         """Write the line of each host whose first window after a start is over."""
         for name in list(self._warming):
             record = self._records.get(name)
@@ -93,11 +93,11 @@
                 log.info("host %s: %d attempts in its first %.1f s; ended: %s", text, got, self.window,
                          _counts(record.warming))  # fmt: skip
 
-    def interval(self) -> str:
+    def take_failure_summary(self) -> str:
         """The hosts with failures since the last call, the worst first, as text; "" without any."""
         rows = [(sum(n for status, n in record.ended.items() if status is not Status.OK), name, record.ended)
                 for name, record in self._records.items()]  # fmt: skip
-        worst = sorted((row for row in rows if row[0]), key=lambda row: (-row[0], row[1]))[:LINES_MOST]
+        worst = sorted((row for row in rows if row[0]), key=lambda row: (-row[0], row[1]))[:MAX_LOG_LINES]
         text = "; ".join(f"{name.decode(errors='replace')} {_counts(ended)}" for _, name, ended in worst)
         for record in self._records.values():
             record.ended.clear()
--- a/thistleshore/core/model.py
+++ b/thistleshore/core/model.py
@@ -72,9 +72,9 @@
     """A ticket worker as the list has it; kept by the broker, read by the fronts."""
 
     id: bytes
-    dial: object  # how a front reaches it: an address, or a name
+    address: object  # how a front reaches it: an address, or a name
     entry: Entry
-    life: int = 0  # counts its restarts and moves: connections of an earlier life are stale
+    generation: int = 0  # counts its restarts and moves: connections of an earlier life are stale
     banned: bool = False  # taken out by hand, as the module has it
 
     @property
@@ -86,7 +86,7 @@
     """One line of a list of upstream hosts."""
 
     entry: Entry
-    dial: object
+    address: object
 
 
 @dataclass(slots=True, eq=False)
@@ -102,7 +102,7 @@
     cancelled: bool = False
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
-    def wrote(self) -> None:
+    def mark_written(self) -> None:
         """The front has written its last byte: from now on it may run."""
         self.sent = True
         self.stream.counts.forwards += 1
@@ -133,7 +133,7 @@
     took: float
 
 
-class HostsTold(NamedTuple):
+class HostListReceived(NamedTuple):
     kind: ListKind
     lines: tuple[HostLine, ...]
     version: int | None = None  # of discovery's list, where it has one
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class BanAsked:
+class BanRequested:
     """An operator takes a host out, or calls it back."""
 
     host: bytes
@@ -156,42 +156,42 @@
     done: trio.Event = field(default_factory=trio.Event)
 
 
-class SettingsTold(NamedTuple):
+class SettingsChanged(NamedTuple):
     """New settings, and what their classes are called."""
 
     settings: Settings
     names: tuple[str, ...]
 
 
-class Posted(NamedTuple):
+class UrgentEventPosted(NamedTuple):
     """Wakes the broker: something was posted."""
 
 
-class NotesHeard(NamedTuple):
+class NotesReceived(NamedTuple):
     """A datagram of notes, of another dispatcher of the tier."""
 
     peer: int
     data: bytes
 
 
-class PeerHeard(NamedTuple):
+class PeerDatagramReceived(NamedTuple):
     """A datagram of another instance."""
 
     data: bytes
 
 
 Event = (
-    Posted
-    | NotesHeard
-    | PeerHeard
+    UrgentEventPosted
+    | NotesReceived
+    | PeerDatagramReceived
     | StreamOpened
     | StreamWithdrawn
     | UpstreamStarted
     | UpstreamEnded
-    | HostsTold
+    | HostListReceived
     | HostReported
-    | BanAsked
-    | SettingsTold
+    | BanRequested
+    | SettingsChanged
 )
 
 
--- a/thistleshore/dispatcher.py
+++ b/thistleshore/dispatcher.py
@@ -10,7 +10,7 @@
 from oxbowarch.interface import ListKind
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
-from thistleshore.core.model import HostsTold
+from thistleshore.core.model import HostListReceived
 from thistleshore.follower import Follower
 from thistleshore.limits import longest_deadline, upstream_limits
 from thistleshore.platform.upstream import Upstreams
@@ -45,7 +45,7 @@
         nursery.start_soon(upstreams.run)
         if plan.peers is not None:
             http.start_peers(components)
-        await broker.inbox.send(HostsTold(ListKind.CACHED, initial.known_hosts))
+        await broker.inbox.send(HostListReceived(ListKind.CACHED, initial.known_hosts))
         _make_fronts(components)
         nursery.start_soon(_drain_fronts, components)
         _start_follower(components, rereads)
--- a/thistleshore/follower.py
+++ b/thistleshore/follower.py
@@ -11,7 +11,7 @@
 from oxbowarch.interface import ListKind
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
-from thistleshore.core.model import HostLine, HostsTold, SettingsTold
+from thistleshore.core.model import HostLine, HostListReceived, SettingsChanged
 from thistleshore.limits import longest_deadline, upstream_limits
 from thistleshore.platform.discovery import Discovery
 from thistleshore.platform.downstream import Downstream
@@ -53,12 +53,12 @@
         async with trio.open_nursery() as nursery:
             async for found in rereads:
                 if found is None:
-                    self.broker.record.sighup_rejected += 1
+                    self.broker.process_figures.sighup_rejected += 1
                     continue
                 if await self._follow(found, nursery):
-                    self.broker.record.sighup_applied += 1
+                    self.broker.process_figures.sighup_applied += 1
                 else:
-                    self.broker.record.sighup_rejected += 1
+                    self.broker.process_figures.sighup_rejected += 1
 
     async def _follow(self, found: Plan, nursery: trio.Nursery) -> bool:
         """Put a reading of the file in force, as far as it goes without a restart; whether it was taken."""
@@ -87,11 +87,11 @@
 
     def tell_hosts(self, hosts: Sequence[HostLine]) -> None:
         """These are all upstream hosts from now on; streams at the others run to their end."""
-        self.broker.post(HostsTold(ListKind.FULL, tuple(hosts)))
+        self.broker.post(HostListReceived(ListKind.FULL, tuple(hosts)))
 
     async def _apply_settings(self, found: Plan, nursery: trio.Nursery) -> None:
         """New settings: the module's before the fronts', which name classes by its numbers."""
-        self.broker.post(SettingsTold(found.settings, found.class_names))  # before a list that has their names
+        self.broker.post(SettingsChanged(found.settings, found.class_names))  # before a list that has their names
         self.upstreams.ways = upstream_limits(found)
         assert found.http is not None
         routes = found.http.routes
--- a/thistleshore/metrics.py
+++ b/thistleshore/metrics.py
@@ -93,7 +93,7 @@
     def collect(self) -> Iterator[Metric]:
         ends = CounterMetricFamily("thistleshore_attempts", "attempts at upstream hosts", labels=("status",))
         for status in Status:
-            ends.add_metric((status.value,), self.broker.figures[status.value])
+            ends.add_metric((status.value,), self.broker.event_counts[status.value])
         yield ends
         refusals = CounterMetricFamily("thistleshore_refusals", "streams without a result", labels=("reason",))
         for reason in RefusalReason:
--- a/thistleshore/platform/discovery.py
+++ b/thistleshore/platform/discovery.py
@@ -10,7 +10,7 @@
 import trio
 
 from oxbowarch.interface import Settings
-from thistleshore.core.model import HostsTold
+from thistleshore.core.model import HostListReceived
 from thistleshore.platform.messages import ListNames, Malformed, Peer, read_hosts
 from thistleshore.platform.start_times import StartTimes
 from thistleshore.platform.watching import Call, Refused, Watch
@@ -55,7 +55,7 @@
         self.watch.on_move(trio.current_time())
         self._scope.cancel()
 
-    async def run(self, tell: Callable[[HostsTold], None]) -> None:
+    async def run(self, tell: Callable[[HostListReceived], None]) -> None:
         """Watch until cancelled.  `tell` does not wait: a watch goes on only where the next call follows at once."""
         try:
             while True:
@@ -66,7 +66,7 @@
         finally:
             self._hang_up()
 
-    async def _step(self, tell: Callable[[HostsTold], None]) -> None:
+    async def _step(self, tell: Callable[[HostListReceived], None]) -> None:
         """One call, and what has come of it."""
         call = self.watch.next(trio.current_time())
         await trio.sleep_until(call.at)
@@ -108,7 +108,7 @@
             self._peer.close()
         self._peer = None
 
-    async def _call(self, call: Call, faults: list[str]) -> HostsTold:
+    async def _call(self, call: Call, faults: list[str]) -> HostListReceived:
         if self._at != self.address:
             self._hang_up()  # moved while an answer was being told: the next call must not go to the old address
         elif self._peer is not None and self._peer.stirs():
@@ -138,7 +138,7 @@
             peer.http.start_next_cycle()
         else:
             self._hang_up()
-        return HostsTold(kind, lines, seq)
+        return HostListReceived(kind, lines, seq)
 
     def _started_at(self, host: bytes, born: float) -> float:
         return self.starts.started_at(host, born, trio.current_time())
--- a/thistleshore/platform/messages.py
+++ b/thistleshore/platform/messages.py
@@ -17,7 +17,7 @@
 from thistleshore.platform.start_times import StartOf
 
 if TYPE_CHECKING:  # the platform has no rules, and imports none of what they need
-    from thistleshore.routing import Routed
+    from thistleshore.routing import RouteDecision
 
 BODY_MOST = 64 * 1024  # bytes of any body
 LINE_MOST = 6 * BODY_MOST + 1024  # a result of that size, every byte of it escaped, in its JSON object
@@ -136,7 +136,7 @@
 class Router(Protocol):
     """An operator's rules, as far as this front needs them."""
 
-    def route(self, request: h11.Request, size: int, address: int) -> Routed | None:
+    def route(self, request: h11.Request, size: int, address: int) -> RouteDecision | None:
         """The contract that a request falls under; `size` in bytes of its body; None: no rule fits."""
         ...
 
--- a/thistleshore/platform/peers.py
+++ b/thistleshore/platform/peers.py
@@ -10,7 +10,7 @@
 import trio
 
 from oxbowarch.notes import BYTES_MOST
-from thistleshore.core.model import Event, NotesHeard
+from thistleshore.core.model import Event, NotesReceived
 
 log = logging.getLogger("thistleshore")
 
@@ -81,4 +81,4 @@
                     self.counts["stranger"] += 1
                     continue
                 self.counts["heard"] += 1
-                await inbox.send(NotesHeard(number, data))
+                await inbox.send(NotesReceived(number, data))
--- a/thistleshore/platform/routed.py
+++ b/thistleshore/platform/routed.py
@@ -8,16 +8,16 @@
 
 from thistleshore.expressions.record import UNKNOWN, Request, first_headers, normal_host, read_query, split_target, text
 from thistleshore.platform.messages import HEAD_MOST, Rejected
-from thistleshore.routing import Live, Routed
+from thistleshore.routing import ActiveRouteTable, RouteDecision
 
 
 class HttpRouter:
     """Fills the record of a request, as far as the rules read it, and routes it."""
 
-    def __init__(self, live: Live) -> None:
+    def __init__(self, live: ActiveRouteTable) -> None:
         self.live = live
 
-    def route(self, request: h11.Request, size: int, address: int = UNKNOWN) -> Routed | None:
+    def route(self, request: h11.Request, size: int, address: int = UNKNOWN) -> RouteDecision | None:
         """`size` in bytes of the body; `address` as `addresses.ip_number` gives it."""
         table = self.live.table
         return table.route(fill(request.method, request.target, request.headers, size, address, table.fields))
--- a/thistleshore/platform/upstream.py
+++ b/thistleshore/platform/upstream.py
@@ -83,7 +83,7 @@
         while idle:
             kept = idle.pop()
             # Readable while idle: the host has closed it, or said what nobody asked; a request would be a reset.
-            fresh = kept.life == host.life and kept.since > trio.current_time() - self.ways.idle_most
+            fresh = kept.life == host.generation and kept.since > trio.current_time() - self.ways.idle_most
             if fresh and not kept.peer.stirs():
                 return kept.peer
             self._close(kept.peer)
@@ -96,7 +96,7 @@
         self.open += 1
         try:
             with trio.fail_after(self.ways.connect_within):
-                return Peer(await _dial(host.dial), h11.CLIENT)
+                return Peer(await _dial(host.address), h11.CLIENT)
         except OSError as problem:
             self.open -= 1
             if problem.errno in NO_SOCKET:
@@ -115,7 +115,7 @@
 
     async def carry(self, request: UpstreamRequest, events: trio.MemorySendChannel[Event]) -> UpstreamOutcome:
         """One upstream request, sent once; PROTOCOL's table of what comes back."""
-        host, life = request.host, request.host.life
+        host, life = request.host, request.host.generation
         if not request.stream.wanted:
             return UpstreamOutcome(Status.MOOT)
         try:
@@ -129,13 +129,13 @@
         try:
             # Connecting took time, and the list may have changed: a host that drains gets nothing new.  Nor does any
             # for a downstream that has gone: no wait stands between this look and the first byte.
-            if not host.ready or host.life != life or not request.stream.wanted:
+            if not host.ready or host.generation != life or not request.stream.wanted:
                 return UpstreamOutcome(Status.MOOT)
             try:
                 await peer.send(*_request(request))
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return UpstreamOutcome(Status.CONNECT_FAILED)  # broken before its last byte was written
-            request.wrote()
+            request.mark_written()
             outcome, done, named = await self._answer(peer, request, events)
             rest = 0.0 if named else QUIET
             return outcome
@@ -196,7 +196,7 @@
                     peer.http.start_next_cycle()
                     if rest:
                         await trio.sleep(rest)
-                    whole = not peer.http.trailing_data[0] and host.ready and host.life == life
+                    whole = not peer.http.trailing_data[0] and host.ready and host.generation == life
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
             whole = False
         finally:
@@ -225,7 +225,7 @@
     if not isinstance(ask, Ask):
         raise TypeError("the stream did not come by HTTP")
     left = max(1, int((request.deadline - trio.current_time()) * 1000))
-    host = request.host.dial
+    host = request.host.address
     authority = f"{host[0]}:{host[1]}" if isinstance(host, tuple) else "service.internal"
     head = [(b"host", authority.encode()), *ask.passed, (b"x-remaining-ms", b"%d" % left)]
     head.append((b"content-length", b"%d" % len(ask.body)))
--- a/thistleshore/restart/handover_state.py
+++ b/thistleshore/restart/handover_state.py
@@ -16,7 +16,7 @@
 from thistleshore.addresses import address_text
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
-from thistleshore.core.model import BanAsked, HostLine, SettingsTold, UpstreamHost
+from thistleshore.core.model import BanRequested, HostLine, SettingsChanged, UpstreamHost
 from thistleshore.platform.discovery import Discovery
 from thistleshore.platform.downstream import Downstream
 from thistleshore.platform.messages import STATES, ListNames, Malformed, read_hosts
@@ -41,7 +41,7 @@
 
 def encode_host(host: UpstreamHost, names: ListNames, epoch: float) -> dict[str, Any]:
     """A host in the form of discovery's list."""
-    entry, dial = host.entry, host.dial
+    entry, dial = host.entry, host.address
     made = {
         "host": host.id.decode(),
         "site": _name(names.zones, entry.zone),
@@ -166,7 +166,7 @@
             if aside:
                 handover.step_aside(self.broker.brain)
                 settings = replace(settings, budget=settings.budget._replace(free=0.0))
-            self.broker.post(SettingsTold(settings, self.plan.class_names))
+            self.broker.post(SettingsChanged(settings, self.plan.class_names))
 
     async def tell_new_streams(self, link: Link) -> None:
         """Until cancelled: streams that are opened here after the hand-over, by name.
@@ -195,7 +195,7 @@
 
     async def on_ban(self, host: str, out: bool, source: Link) -> None:
         """An operator has called it at another process."""
-        await self.broker.inbox.send(BanAsked(host.encode(), out, known=True))
+        await self.broker.inbox.send(BanRequested(host.encode(), out, known=True))
         await self.links.tell_ban(host, out, source)
 
     def inherit(self, inherited: Inherited) -> None:
--- a/thistleshore/rig/hollow.py
+++ b/thistleshore/rig/hollow.py
@@ -16,7 +16,7 @@
 from thistleshore import dispatcher
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
-from thistleshore.core.model import HostsTold
+from thistleshore.core.model import HostListReceived
 from thistleshore.fleet.carrier import Carrier
 from thistleshore.limits import upstream_limits
 from thistleshore.platform.upstream import Upstreams
@@ -67,7 +67,7 @@
             components = Components(plan, trio.Event(), nursery, initial, broker, upstreams, applier)
             nursery.start_soon(broker.run)
             nursery.start_soon(upstreams.run)
-            await broker.inbox.send(HostsTold(ListKind.CACHED, initial.known_hosts))
+            await broker.inbox.send(HostListReceived(ListKind.CACHED, initial.known_hosts))
             dispatcher._start_follower(components, None)
             await dispatcher._start_subsystems(components)
             components.serving.set()
--- a/thistleshore/routing/table.py
+++ b/thistleshore/routing/table.py
@@ -33,7 +33,7 @@
     tube: str = ""
 
 
-class Routed(NamedTuple):
+class RouteDecision(NamedTuple):
     """What a stream was given at intake.  It keeps it, whatever table comes later."""
 
     contract: int
@@ -43,7 +43,7 @@
     rule: str = ""
 
 
-class TableError(ValueError):
+class RouteTableError(ValueError):
     """All that is wrong with a table's rules."""
 
     def __init__(self, problems: Sequence[ExpressionError]) -> None:
@@ -92,9 +92,9 @@
             # A rule that names no contract leaves that to the paths and tubes.
             self.plain = RuleSet(plain, KINDS, environment, limits, "paths and tubes")
         except RuleErrors as problems:
-            raise TableError(problems.problems) from None
+            raise RouteTableError(problems.problems) from None
         if found := [problem for n in range(len(rules)) for problem in self._unknown(n)]:
-            raise TableError(found)
+            raise RouteTableError(found)
         self.fields = self.rules.compiled.fields
 
     def _unknown(self, number: int) -> list[ExpressionError]:
@@ -152,12 +152,12 @@
         """The most units that routing one request can cost."""
         return self.rules.units + self.plain.units
 
-    def route(self, request: Request) -> Routed | None:
+    def route(self, request: Request) -> RouteDecision | None:
         """What the first rule that fits says, or None where none fits or names a contract."""
         found = self.rules.decide(request)
         return None if found is None else self._tied(found, request)
 
-    def _tied(self, found: tuple[Any, ...], request: Request) -> Routed | None:
+    def _tied(self, found: tuple[Any, ...], request: Request) -> RouteDecision | None:
         name, member = found[CONTRACT], found[MEMBER] or ""
         number: int | None
         if name is not None:
@@ -169,11 +169,11 @@
             number = None if plain is None else self._plain_contracts[plain[0]]
         if number is None:
             return None
-        return Routed(
+        return RouteDecision(
             number, self.contracts[number].deadline, member, key_number(found[KEY]), self.rules.rules[found[0]].name
         )
 
-    def explain(self, request: Request) -> tuple[list[Looked], Routed | None]:
+    def explain(self, request: Request) -> tuple[list[Looked], RouteDecision | None]:
         """Each rule up to the one that decides, and what comes of it."""
         return self.rules.explain(request.read), self.route(request)
 
@@ -197,7 +197,7 @@
     return numbers, rules
 
 
-class Live:
+class ActiveRouteTable:
     """The table in force; whoever routes a request reads it once."""
 
     def __init__(self, table: RouteTable) -> None:
--- a/thistleshore/wiring/admin.py
+++ b/thistleshore/wiring/admin.py
@@ -10,7 +10,7 @@
     """Start the listener of the admin interface, which passes calls about the fleet on to its carrier."""
     plan, broker = components.plan, components.broker
     assert plan.admin is not None
-    components.admin = Admin(broker.inbox, components.ready, broker.told_figures)
+    components.admin = Admin(broker.inbox, components.ready, broker.figures_snapshot)
     if components.fleet is not None:
         components.admin.fleet = components.fleet.on_call
     await components.nursery.start(components.admin.run, plan.admin)
--- a/thistleshore/wiring/distribution.py
+++ b/thistleshore/wiring/distribution.py
@@ -10,7 +10,7 @@
 from thistleshore.configuration.calls import ConfigurationCalls
 from thistleshore.configuration.carrier import Distribution
 from thistleshore.configuration.store import VersionStore
-from thistleshore.core.model import HostsTold
+from thistleshore.core.model import HostListReceived
 from thistleshore.wiring.components import Components
 
 
@@ -34,5 +34,5 @@
         components.handover.distribution = distribution
     if components.initial.inherited is not None and applier.hosts_told:
         # The hosts of the process before, which the broker has been told, may be those of an earlier version.
-        components.broker.inbox.send_nowait(HostsTold(ListKind.FULL, plan.known))
+        components.broker.inbox.send_nowait(HostListReceived(ListKind.FULL, plan.known))
     components.start_as_member(distribution.run)
--- a/thistleshore/wiring/exchange.py
+++ b/thistleshore/wiring/exchange.py
@@ -7,8 +7,8 @@
 import trio
 
 from thistleshore.contracts import Ledger
-from thistleshore.contracts.carrier import Link
-from thistleshore.core.model import PeerHeard
+from thistleshore.contracts.carrier import ExchangeLink
+from thistleshore.core.model import PeerDatagramReceived
 from thistleshore.wiring.components import Components
 
 log = logging.getLogger("thistleshore")
@@ -24,10 +24,10 @@
         setup = plan.exchange
 
         async def deliver(data: bytes) -> None:
-            await broker.inbox.send(PeerHeard(data))
+            await broker.inbox.send(PeerDatagramReceived(data))
 
-        link = Link(setup.listen, setup.peers, setup.terms.every, broker.exchange_datagrams, deliver)
-        broker.link_counts = link.counts
+        link = ExchangeLink(setup.listen, setup.peers, setup.terms.message_interval, broker.exchange_datagrams, deliver)
+        broker.exchange_datagram_counts = link.counts
         await components.nursery.start(link.run)
     components.nursery.start_soon(_log_shares, broker.ledger)
 
--- a/thistleshore/wiring/http.py
+++ b/thistleshore/wiring/http.py
@@ -64,7 +64,7 @@
 
     Drains: what the agent of this machine has counts as told from a process's first moment, and the list that it
     starts with may be old; where the agent says nothing either, that has to do."""
-    await broker.listed.wait()
+    await broker.hosts_listed.wait()
     if discovery is not None:
         await discovery.asked.wait()
     listed.set()
--- a/thistleshore/wiring/metrics.py
+++ b/thistleshore/wiring/metrics.py
@@ -20,7 +20,7 @@
     """Start the page with what there is to tell of."""
     plan, broker, fleet = components.plan, components.broker, components.fleet
     assert plan.metrics is not None
-    collectors: list[Collector] = [Results(broker.told_figures), Attempts(broker)]
+    collectors: list[Collector] = [Results(broker.figures_snapshot), Attempts(broker)]
     if fleet is not None:
         collectors.append(View(fleet.members, fleet.status))
     if broker.ledger is not None:
@@ -39,6 +39,6 @@
 
 def _contracts(broker: Broker, ledger: Ledger) -> Contracts:
     def events() -> dict[str, int]:
-        return {**broker.link_counts, **(broker.exchange.counts if broker.exchange is not None else {})}
+        return {**broker.exchange_datagram_counts, **(broker.exchange.counts if broker.exchange is not None else {})}
 
     return Contracts(lambda: ledger.figures(trio.current_time()), events)
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -10,7 +10,7 @@
 from oxbowarch.interface import State
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
-from thistleshore.core.model import BanAsked
+from thistleshore.core.model import BanRequested
 from thistleshore.configuration.store import BODY_FOLDER, FileBodyStore
 from thistleshore.fleet.machine import Fleet
 from thistleshore.releases.calls import ReleaseCalls
@@ -43,7 +43,7 @@
 
     async def ban(self, host: str, out: bool) -> None:
         """Take a host out, or call it back; returns once the decision module has it."""
-        asked = BanAsked(host.encode(), out)
+        asked = BanRequested(host.encode(), out)
         await self.broker.inbox.send(asked)
         await asked.done.wait()
 
--- a/thistleshore/wiring/shares.py
+++ b/thistleshore/wiring/shares.py
@@ -28,7 +28,7 @@
         return pool.slots(broker.brain.workers.values(), services, trio.current_time())
 
     def room() -> Sequence[float]:
-        return pool.room(broker.brain.workers.values(), services, trio.current_time())
+        return pool.free_slots(broker.brain.workers.values(), services, trio.current_time())
 
     def part(share: ShareKey) -> float:
         return equal_part if exchange is None else exchange.part(share, trio.current_time())
