--- a/benchmarks/checks/configuration.py
+++ b/benchmarks/checks/configuration.py
@@ -82,12 +82,12 @@
         acceptor = self.acceptors[voter]
         if not isinstance(message, Deposit):
             if acceptor is not None:
-                acceptor.holds = lambda digest: self._accepts(voter, digest)
+                acceptor.has_body = lambda digest: self._accepts(voter, digest)
             super().deliver(at)
             return
         del self.waiting[at]
         if acceptor is not None:
-            self._keep(voter, message.digest, acceptor.held.value)
+            self._keep(voter, message.digest, acceptor.state.value)
             self.deposited[number] |= {voter}
         if len(self.deposited[number]) >= MAJORITY and not self.started[number]:
             self._propose(number)
@@ -124,7 +124,7 @@
 
     def _without_body(self) -> str:
         """A version that a majority has accepted, whether or not its proposer knows of it."""
-        held = [acceptor.held for acceptor in self.acceptors.values() if acceptor is not None]
+        held = [acceptor.state for acceptor in self.acceptors.values() if acceptor is not None]
         for ballot, count in Counter(one.accepted for one in held).items():
             value = next(one.value for one in held if one.accepted == ballot)
             entry = value.configuration.current if value is not None else None
@@ -152,7 +152,7 @@
 
     def shape(self) -> Any:
         contents = tuple(
-            None if acceptor is None or acceptor.held.value is None else acceptor.held.value.configuration
+            None if acceptor is None or acceptor.state.value is None else acceptor.state.value.configuration
             for acceptor in self.acceptors.values()
         )
         bodies = tuple((self.bodies[voter], self.durable[voter]) for voter in VOTERS)
--- a/benchmarks/checks/register.py
+++ b/benchmarks/checks/register.py
@@ -41,7 +41,7 @@
 
     def on_reply(self, voter: str, reply: Any) -> Any:
         if self._value is not None:
-            self.voters = self._next
+            self.voters = self._next_voters
         return super().on_reply(voter, reply)
 
 
@@ -95,8 +95,8 @@
         after, reply = acceptor.on_prepare(message) if isinstance(message, Prepare) else acceptor.on_accept(message)
         if after is not None:
             # The flaw: the answer leaves, and the disk has it only with the write after it.
-            self.synced[voter] = acceptor.held if self.flaw == "vote before the write" else after
-            acceptor.held = after
+            self.synced[voter] = acceptor.state if self.flaw == "vote before the write" else after
+            acceptor.state = after
         this = self.rounds[number]
         self.waiting += [(number, name, asked) for name, asked in this.on_reply(voter, reply).items()]
         if this.outcome is not None and not self.over[number]:
@@ -149,7 +149,7 @@
 
     def twin(self) -> Story:
         made = copy.copy(self)
-        made.acceptors = {n: None if a is None else Acceptor(a.held) for n, a in self.acceptors.items()}
+        made.acceptors = {n: None if a is None else Acceptor(a.state) for n, a in self.acceptors.items()}
         made.synced, made.waiting, made.done = dict(self.synced), list(self.waiting), list(self.done)
         made.floors, made.over, made.rounds = list(self.floors), list(self.over), []
         for this in self.rounds:
@@ -163,11 +163,11 @@
             None
             if a is None
             else (
-                a.held.promised,
-                a.held.accepted,
-                a.held.value and a.held.value.number,
-                a.held.value and a.held.value.places,
-                a.held.value and a.held.value.voters,
+                a.state.promised,
+                a.state.accepted,
+                a.state.value and a.state.value.number,
+                a.state.value and a.state.value.places,
+                a.state.value and a.state.value.voters,
             )
             for a in self.acceptors.values()
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -160,7 +160,7 @@
         return 0
 
     Releases.deposit = deposit  # type: ignore[method-assign]
-    Voter._holds = lambda self, digest: True  # type: ignore[method-assign]
+    Voter._has_body = lambda self, digest: True  # type: ignore[method-assign]
 
 
 def never_durable() -> None:
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -91,14 +91,14 @@
     value = taken(push(taken(push(VALUE, ONE, 0, "p1", "hosts")), TWO, 1, "p2", "quota"))
     refused = turned_down(push(value, THREE, 0, "p3"))
     assert refused.limit == "against" and refused.allowed == 2 and refused.out == ("1", "2")
-    assert "version 1 by p1 (hosts)" in refused.told and "version 2 by p2 (quota)" in refused.told
-    assert "no version 9" in turned_down(push(value, THREE, 9)).told
+    assert "version 1 by p1 (hosts)" in refused.reason and "version 2 by p2 (quota)" in refused.reason
+    assert "no version 9" in turned_down(push(value, THREE, 9)).reason
     assert taken(push(value, THREE)).configuration.number == 3  # against whichever is in force
     for number in range(3, MAX_CONFIGURATIONS + 10):
         value = taken(push(value, b"# %d" % number, number - 1))
     assert len(value.configuration.history) == MAX_CONFIGURATIONS
     assert value.configuration.history[-1].number == value.configuration.number == MAX_CONFIGURATIONS + 9
-    assert "versions before 10, which are not kept any more; version 10 by" in turned_down(push(value, THREE, 0)).told
+    assert "versions before 10, which are not kept any more; version 10 by" in turned_down(push(value, THREE, 0)).reason
 
 
 def test_a_rollback_is_a_new_version_with_an_earlier_body() -> None:
@@ -110,8 +110,8 @@
     assert agreement.rollback(back, 1, 2, "p1", "worse", 7.0) is back  # repeated
     assert turned_down(agreement.rollback(value, 2, 2, "p1", "", 6.0)).limit == "in-force"
     unknown = turned_down(agreement.rollback(value, 7, 2, "p1", "", 6.0))
-    assert unknown.limit == "version" and unknown.told == "no version 7 is kept; there are: 1, 2"
-    assert turned_down(agreement.rollback(VALUE, 1, None, "p1", "", 6.0)).told.endswith("there are: none")
+    assert unknown.limit == "version" and unknown.reason == "no version 7 is kept; there are: 1, 2"
+    assert turned_down(agreement.rollback(VALUE, 1, None, "p1", "", 6.0)).reason.endswith("there are: none")
     late = turned_down(agreement.rollback(value, 1, 1, "p1", "", 6.0))
     assert late.limit == "against" and late.out == ("2",)
 
@@ -229,7 +229,7 @@
         lost = [name for name, answer in found.items() if isinstance(answer, Refusal)]
         assert len(won) == len(lost) == 1
         refused = turned_down(found[lost[0]])
-        assert refused.out == ("1",) and f"version 1 by {won[0]} (reason of {won[0]})" in refused.told
+        assert refused.out == ("1",) and f"version 1 by {won[0]} (reason of {won[0]})" in refused.reason
 
     on_tier(scenario, tmp_path)
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -140,7 +140,7 @@
         seen = DriverInput(SEEN._replace(dispatchers_down=self.down), self.settled, True, figures)
         step = self.driver.on_look(self.value, seen, self.now)
         if step is not None:
-            self.done.append(step.told)
+            self.done.append(step.reason)
             self.value = value_of(step.change(self.value, "me", self.now))
         self.most_out = max(self.most_out, len(self.value.places))
         for place in self.value.places:
--- a/tests/test_register_following.py
+++ b/tests/test_register_following.py
@@ -144,7 +144,7 @@
         this = tier.instance("y")
 
         def pauses() -> tuple[float, float]:
-            found = [this._look_pause() for _ in range(200)]
+            found = [this._poll_pause() for _ in range(200)]
             return min(found), max(found)
 
         assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL  # no voter has answered yet: many would ask in vain at once
@@ -188,7 +188,7 @@
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
         assert isinstance(await this.change(with_begun_release), Value)
-        this.life, this.ready = 2, lambda: True  # it was started anew
+        this.generation, this.ready = 2, lambda: True  # it was started anew
         await this.poll_voters()
         await this.apply()
         assert this.known is not None and this.known.place("dispatcher", "x") is not None
@@ -205,7 +205,7 @@
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
         await this.change(lambda value: places.grant(value, "dispatcher", "x", "why", "x", SEEN, 0.0))
-        this.life, this.ready = 2, lambda: True
+        this.generation, this.ready = 2, lambda: True
         await this.poll_voters()
         await this.apply()
         assert this.known is not None and not this.known.places
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -51,7 +51,7 @@
     one = taken(ask(VALUE, "dispatcher", "d1"))
     assert one.number == 2 and one.place("dispatcher", "d1") and ask(one, "dispatcher", "d1") == one
     no = ask(one, "dispatcher", "d2")
-    assert isinstance(no, Refusal) and no.limit == "dispatchers" and no.out == ("d1",) and "d1" in no.told
+    assert isinstance(no, Refusal) and no.limit == "dispatchers" and no.out == ("d1",) and "d1" in no.reason
     # Whoever is down without having asked counts, and has no place of its own to give up.
     down = SEEN._replace(dispatchers_down=frozenset({"d3"}))
     assert isinstance(ask(VALUE, "dispatcher", "d2", down), Refusal)
@@ -122,7 +122,7 @@
             return None
         after, reply = acceptor.on_prepare(message) if isinstance(message, Prepare) else acceptor.on_accept(message)
         if after is not None:
-            self.disks[name] = acceptor.held = after
+            self.disks[name] = acceptor.state = after
         return reply
 
     def play(self, this: Round) -> Any:
@@ -143,7 +143,7 @@
     assert late.what == "again" and late.higher[0] == 3
     cluster.acceptors["a"] = cluster.acceptors["b"] = None  # type: ignore[assignment]
     lost = cluster.play(Round(7, ("a", "b", "c"), (9, "y"), lambda v: v))
-    assert lost.what == "lost" and "a: no answer" in lost.told
+    assert lost.what == "lost" and "a: no answer" in lost.reason
 
 
 def test_voters_change_one_at_a_time_by_both_majorities() -> None:
@@ -171,7 +171,7 @@
     cluster.acceptors["a"] = Acceptor(old)
     cluster.acceptors["c"] = None  # type: ignore[assignment]
     found = cluster.play(Round(7, ("a", "b", "c"), (9, "x"), lambda v: v))
-    assert found.what == "lost" and "older copy" in found.told
+    assert found.what == "lost" and "older copy" in found.reason
     assert isinstance(Acceptor(old).on_prepare(Prepare(7, (9, "x"), {"a": 99}))[1], Unable)
     assert isinstance(Acceptor(old).on_prepare(Prepare(8, (9, "x")))[1], Unable)
 
@@ -341,7 +341,7 @@
     assert found["status"] == "no-majority" and "c: no answer" in found["told"]
     deaf.clear()
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "done"
-    assert len({voter.acceptor.held.register for voter in voters.values() if voter.acceptor is not None}) == 1
+    assert len({voter.acceptor.state.register for voter in voters.values() if voter.acceptor is not None}) == 1
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "refused"
     assert isinstance(await asker.change(lambda v: places.set_limits(v, Limits(2), "x", 0.0)), Value)
     # One that has lost its file does not become a new beginning: something was agreed since.
@@ -365,12 +365,12 @@
         voter.close()
         await voter.open()
         assert isinstance(voter.answer(Prepare(7, (3, "x")), 0.0), Unable)  # it has heard nobody yet
-        voter.on_known("b", {"a": writes}, VALUE.voters)
+        voter.on_write_counts("b", {"a": writes}, VALUE.voters)
         assert isinstance(voter.answer(Prepare(7, (3, "x")), 0.0), Promise) == votes
         if not votes:
-            assert "older copy" in voter.why
+            assert "older copy" in voter.unable_reason
         else:
-            held = voter.acceptor.held if voter.acceptor is not None else None
+            held = voter.acceptor.state if voter.acceptor is not None else None
             assert held is not None and voter.store is not None
             voter.store.write(msgspec.structs.replace(held, writes=6))  # as from a copy
 
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -172,7 +172,7 @@
         point("configuration-deposited")
         found = await self.releases.change(change)
         if isinstance(found, Refusal):
-            return Refused(found.told, entries=self._since(against))
+            return Refused(found.reason, entries=self._since(against))
         point("configuration-agreed")
         stamp = agreement.stamp(found, self.releases.register)
         if stamp.digest == digest_of(body):
--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -104,7 +104,7 @@
         if words[0] not in ("dispatcher", "host"):
             return {"status": "refused", "told": "dispatcher or host is wanted"}
         kind, which, reason = cast(Kind, words[0]), words[1], " ".join(words[2:])
-        now, me, seen = time.time(), self.releases.name, self.releases.standing()
+        now, me, seen = time.time(), self.releases.name, self.releases.observe()
 
         def change(value: Value) -> Value | Refusal:
             if name == "drain":
@@ -194,7 +194,7 @@
         if value is None or value.release is None:
             return {"agreed": value is not None and agreed, "release": None}
         release, driver = value.release, self.releases.driver
-        down = self.releases.standing().dispatchers_down
+        down = self.releases.observe().dispatchers_down
         live = sorted(name for name in self.releases.reports if name not in down)
         return {
             "agreed": agreed,
@@ -232,7 +232,7 @@
 
     def state(self, kind: str, name: str) -> Answer:
         """How far one that goes out is: `out` only once all that live have said that they send nothing there."""
-        value, seen = self.releases.known, self.releases.standing()
+        value, seen = self.releases.known, self.releases.observe()
         place = value.place(kind, name) if value is not None else None
         if place is None:
             return {"state": "back", "waiting_for": []}
@@ -260,7 +260,7 @@
             "agreed": self.releases.has_recent_majority,
             "voters": list(value.voters),
             "limits": msgspec.to_builtins(value.limits),
-            "votes_here": None if voter is None else voter.why or "yes",
+            "votes_here": None if voter is None else voter.unable_reason or "yes",
             "places": [{**msgspec.to_builtins(place), **self.state(place.kind, place.name)} for place in value.places],
             "history": [msgspec.to_builtins(act) for act in value.history],
         }
@@ -273,7 +273,7 @@
             "limit": found.limit,
             "allowed": found.allowed,
             "out": list(found.out),
-            "told": found.told,
+            "told": found.reason,
         }
     return {"status": "done", "number": found.number}
 
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -55,11 +55,11 @@
 
 ANSWER_TIMEOUT = 0.5  # s for a voter's answer
 CHANGE_TIMEOUT = 3.0  # s for a change, with all its rounds
-AGAIN = (0.01, 0.08)  # s before a round that met another is made again, doubled each time
+RETRY_PAUSES = (0.01, 0.08)  # s before a round that met another is made again, doubled each time
 POLL_INTERVAL = 0.25  # s between two looks at the value, by a voter, and by all while anything is under way
 IDLE_POLL_INTERVAL = 1.0  # s between two looks of an instance without a vote while nothing is under way
 REPORT_INTERVAL = 1.0  # s between two reports while nobody needs them; voters keep one for longer (REPORT_LIFETIME)
-BODY_LOOK = 1.0  # s between two looks whether this voter holds the body of the version in force
+BODY_CHECK_INTERVAL = 1.0  # s between two looks whether this voter holds the body of the version in force
 MAJORITY_VALIDITY = (
     2.0  # s for which what a majority said counts as now: more than from one idle look to the next, with its answer
 )
@@ -81,29 +81,39 @@
 class Releases:
     """One instance's part.  `standing` says what it sees; `ban` takes a host out at the module, or calls it back."""
 
-    def __init__(self, plan: ReleasesPlan, name: str, life: int, standing: Callable[[], FleetObservation],
-                 ban: Callable[[str, bool], Awaitable[None]], clear: Callable[[str], bool], ready: Callable[[], bool],
-                 zones: Callable[[str], Mapping[str, str]],
-                 drain: trio.Event, figures: Callable[[], Figures],
-                 view: Callable[[], tuple[bool, bool]], bodies: BodyStore | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        plan: ReleasesPlan,
+        name: str,
+        generation: int,
+        observe: Callable[[], FleetObservation],
+        ban: Callable[[str, bool], Awaitable[None]],
+        is_clear: Callable[[str], bool],
+        ready: Callable[[], bool],
+        zones: Callable[[str], Mapping[str, str]],
+        drain: trio.Event,
+        figures: Callable[[], Figures],
+        view: Callable[[], tuple[bool, bool]],
+        bodies: BodyStore | None = None,
+    ) -> None:
         """`view` tells whether the view of the fleet is settled, and whether it has a majority; `bodies` is where this
         instance keeps those of the configuration, if it votes."""
         self.figures, self.view, self.zones, self.driver = figures, view, zones, Driver()
-        self.plan, self.name, self.life, self.standing = plan, name, life, standing
-        self.ban, self.clear, self.ready, self.drain = ban, clear, ready, drain
+        self.plan, self.name, self.generation, self.observe = plan, name, generation, observe
+        self.ban, self.is_clear, self.ready, self.drain = ban, is_clear, ready, drain
         self.voter = Voter(name, Path(plan.folder), bodies) if plan.listen is not None else None
         self.known: Value | None = None  # the latest that is known, agreed or not
         self.agreed: Value | None = None  # the latest that a majority is known to hold
         self.on_agreed: Callable[[Value], None] | None = None  # called when `agreed` moves on
-        self.fresh_until = 0.0  # until then a majority has said so
+        self.majority_valid_until = 0.0  # until then a majority has said so
         self.applied = 0
         self.reports: dict[str, Report] = {}
-        self.out: set[str] = set()  # hosts that are out here by the register
+        self.hosts_out: set[str] = set()  # hosts that are out here by the register
         self._number, self.seen = 0, dict[str, int]()
         self._register = 0
         self._latest = Latest()
         self._reported_at = -inf
-        self._unsure = NO_BALLOT  # a ballot that was accepted by some, when last looked
+        self._uncertain_ballot = NO_BALLOT  # a ballot that was accepted by some, when last looked
         self._random = random.Random()
         self._aside = Aside()
 
@@ -184,36 +194,36 @@
 
     # -- changes ----------------------------------------------------------------------------------------
 
-    async def change(self, change: Change, within: float = CHANGE_TIMEOUT) -> Value | Refusal:
+    async def change(self, change: Change, timeout: float = CHANGE_TIMEOUT) -> Value | Refusal:
         """Change the value, or be refused; NoMajority where neither came about (and it may yet, by another's round)."""
-        told, wait = "no voter answered", AGAIN[0]
+        reason, wait = "no voter answered", RETRY_PAUSES[0]
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
-        until = trio.current_time() + within
-        while trio.current_time() < until:
+        deadline = trio.current_time() + timeout
+        while trio.current_time() < deadline:
             outcome = await self._round(voters, change)
             if outcome.what == "done":
                 assert outcome.value is not None
-                self._learned(outcome.value, True)
+                self._update_value(outcome.value, True)
                 return outcome.refusal if outcome.refusal is not None else outcome.value
             if outcome.what == "voters" and outcome.value is not None:
                 voters = outcome.value.voters
                 continue
             if outcome.what == "lost":
-                told = outcome.told
+                reason = outcome.reason
             self._number = max(self._number, outcome.higher[0])
             await trio.sleep(self._random.uniform(0.5, 1.5) * wait)
-            wait = min(4 * AGAIN[1], 2 * wait) if outcome.what == "again" else AGAIN[1]
-        raise NoMajority(told)
+            wait = min(4 * RETRY_PAUSES[1], 2 * wait) if outcome.what == "again" else RETRY_PAUSES[1]
+        raise NoMajority(reason)
 
     async def _round(self, voters: tuple[str, ...], change: Change) -> Outcome:
         if not self._register:
             await self.poll_voters()
             if not self._register:
-                return Outcome("lost", told="no voter holds the register; has it been begun?")
+                return Outcome("lost", reason="no voter holds the register; has it been begun?")
         self._number += 1
         # Two processes never use one ballot: its second part names the life as well.
-        ballot = (self._number, f"{self.name}.{self.life}")
-        this = Round(self._register, voters, ballot, change, self.seen)
+        ballot = (self._number, f"{self.name}.{self.generation}")
+        round_ = Round(self._register, voters, ballot, change, self.seen)
         send, receive = trio.open_memory_channel[tuple[str, Reply | None]](64)
         async with trio.open_nursery() as nursery:
 
@@ -226,13 +236,15 @@
                     nursery.start_soon(one, voter, question)
                 return len(questions)
 
-            waiting = ask(this.start())
-            while this.outcome is None and waiting:
+            waiting = ask(round_.start())
+            while round_.outcome is None and waiting:
                 voter, reply = await receive.receive()
-                waiting += ask(this.on_reply(voter, reply)) - 1
+                waiting += ask(round_.on_reply(voter, reply)) - 1
             nursery.cancel_scope.cancel()
-        self.seen = merge_write_counts(self.seen, this.seen)
-        return this.outcome or Outcome("lost", told="; ".join(f"{n}: {why}" for n, why in sorted(this.unable.items())))
+        self.seen = merge_write_counts(self.seen, round_.seen)
+        return round_.outcome or Outcome(
+            "lost", reason="; ".join(f"{n}: {why}" for n, why in sorted(round_.unable.items()))
+        )
 
     # -- bodies of the configuration ---------------------------------------------------------------------------
 
@@ -287,7 +299,7 @@
     async def _keep_current_body(self, voter: Voter) -> None:
         """Have this voter hold the body of the version in force, also where it missed the deposit."""
         while True:
-            await trio.sleep(BODY_LOOK * self._random.uniform(0.75, 1.25))
+            await trio.sleep(BODY_CHECK_INTERVAL * self._random.uniform(0.75, 1.25))
             entry = self.known.configuration.current if self.known is not None else None
             if entry is None or isinstance(voter.answer(FetchBody(entry.digest), trio.current_time()), Body):
                 continue
@@ -298,11 +310,11 @@
     @property
     def has_recent_majority(self) -> bool:
         """Whether a majority has said that what is known here is what it holds."""
-        return trio.current_time() <= self.fresh_until
+        return trio.current_time() <= self.majority_valid_until
 
     # -- following -----------------------------------------------------------------------------------------
 
-    def _learned(self, value: Value, agreed: bool) -> None:
+    def _update_value(self, value: Value, agreed: bool) -> None:
         if agreed and (self.agreed is None or value.number > self.agreed.number):
             self.agreed = value
             if self.on_agreed is not None:
@@ -310,44 +322,46 @@
         if self.known is None or value.number >= self.known.number:
             self.known = value
             if agreed:
-                self.fresh_until = trio.current_time() + MAJORITY_VALIDITY
+                self.majority_valid_until = trio.current_time() + MAJORITY_VALIDITY
 
-    def _under_way(self) -> bool:
+    def _change_in_progress(self) -> bool:
         """Whether anybody is out, or a release is not over: then it matters how far the others are."""
         value = self.known
         if value is None:
             return False
         return bool(value.places) or (value.release is not None and value.release.state not in waves.FINAL_STATES)
 
-    def _question(self) -> Learn:
+    def _learn_request(self) -> Learn:
         """What this instance has and wants; with its own report, where one is due."""
-        now, wanted = trio.current_time(), self._under_way()
+        now, wanted = trio.current_time(), self._change_in_progress()
         report = None
         if wanted or now >= self._reported_at + REPORT_INTERVAL:
             report, self._reported_at = self.report(), now
         latest = self._latest
         return Learn(report, self.seen, latest.register, latest.ballot, wanted)
 
-    def _look_pause(self) -> float:
+    def _poll_pause(self) -> float:
         """Seconds to the next look: voters have to hear of a change at once, as they tell the fleet of it.
 
         Others look less often also where no voter has answered yet: many that ask again at once would keep the voters
         busy, and be the reason why none is answered.
         """
         changing = self.known is not None and (self.known != self.agreed or self.applied != self.known.number)
-        pause = POLL_INTERVAL if self.voter is not None or changing or self._under_way() else IDLE_POLL_INTERVAL
+        pause = (
+            POLL_INTERVAL if self.voter is not None or changing or self._change_in_progress() else IDLE_POLL_INTERVAL
+        )
         return pause * self._random.uniform(0.75, 1.25)
 
     def report(self) -> Report:
         """How far this instance is, as voters are told."""
-        clear = tuple(host for host in sorted(self.out) if self.clear(host))
-        return Report(self.name, self.life, self.applied, clear, self.figures())
+        clear = tuple(host for host in sorted(self.hosts_out) if self.is_clear(host))
+        return Report(self.name, self.generation, self.applied, clear, self.figures())
 
     async def poll_voters(self) -> None:
         """Ask all voters what they hold, and tell them how far this instance is."""
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
         before = self._latest
-        found = await self.ask_all(dict.fromkeys({*voters, *self.plan.voters}, self._question()))
+        found = await self.ask_all(dict.fromkeys({*voters, *self.plan.voters}, self._learn_request()))
         held = {
             voter: msgspec.structs.replace(reply, value=before.value) if reply.unchanged else reply
             for voter, reply in found.items()
@@ -356,7 +370,7 @@
         for voter, reply in held.items():
             self.seen = merge_write_counts(self.seen, reply.seen, {voter: reply.writes} if not reply.why else {})
             if self.voter is not None and voter != self.name:
-                self.voter.on_known(voter, reply.seen, voters)
+                self.voter.on_write_counts(voter, reply.seen, voters)
         self.reports = {}
         for reply in held.values():
             for report in reply.reports:
@@ -376,25 +390,25 @@
         if not agreed and 2 * len(set(voting) & set(latest.value.voters)) > len(latest.value.voters):
             # Accepted by some: whether by a majority is for a round to say, which also brings the others up.  Only
             # where it stays so: a round now would cross the one that is under way.
-            if latest.accepted != self._unsure:
-                self._unsure = latest.accepted
+            if latest.accepted != self._uncertain_ballot:
+                self._uncertain_ballot = latest.accepted
                 return
             try:
                 await self.change(lambda value: value, ANSWER_TIMEOUT)
             except NoMajority:
                 return
         else:
-            self._learned(latest.value, agreed)
+            self._update_value(latest.value, agreed)
 
     async def _follow(self) -> None:
         while True:
             await self.poll_voters()
             try:
                 await self.apply()
-                await self._drive()
+                await self._advance_release()
             except NoMajority as problem:
                 log.warning("register: %s", problem)
-            await trio.sleep(self._look_pause())
+            await trio.sleep(self._poll_pause())
 
     async def apply(self) -> None:
         """Do here what the value says."""
@@ -402,18 +416,18 @@
         if value is None:
             return
         wanted = {place.name for place in value.places if place.kind == "host"}
-        for host in sorted(wanted ^ self.out):
+        for host in sorted(wanted ^ self.hosts_out):
             await self.ban(host, host in wanted)
             log.info("register: host %s is %s", host, "out" if host in wanted else "back")
-        self.out = wanted
+        self.hosts_out = wanted
         self.applied = value.number
         place = value.place("dispatcher", self.name)
         if place is None or not self.has_recent_majority:
             return  # without a majority that says so now, nobody begins
         if place.release:
             return  # its keeper takes it, and says what became of the change: until then nobody else may go out
-        if place.begun or place.life != self.life:
-            if place.life != self.life and self.ready():
+        if place.begun or place.life != self.generation:
+            if place.life != self.generation and self.ready():
                 # Its holder serves again: what was a place to be out is of no use any more.
                 back = "serves again"
                 await self.change(lambda v: places.free(v, "dispatcher", self.name, back, self.name, time.time()))
@@ -427,23 +441,23 @@
 
     # -- the release -------------------------------------------------------------------------------------------
 
-    def leads(self, seen: FleetObservation) -> bool:
+    def is_leader(self, seen: FleetObservation) -> bool:
         """Whether it is this instance that carries a release forward: the first by name of those that are ready and
         have reported to the voters lately.  Two that think so meet in the register."""
         live = [name for name in seen.dispatchers if name not in seen.dispatchers_down and name in self.reports]
         return bool(live) and min(live) == self.name
 
-    async def _drive(self) -> None:
+    async def _advance_release(self) -> None:
         now = trio.current_time()
         if self.known is None or not self.has_recent_majority:
             return
-        seen = self.standing()
+        seen = self.observe()
         figures = [report.figures for report in self.reports.values() if report.figures is not None]
         step = self.driver.on_look(self.known, DriverInput(seen, *self.view(), figures), now)
-        if step is None or not self.leads(seen):
+        if step is None or not self.is_leader(seen):
             return
         point("driver-before")
         found = await self.change(lambda value: step.change(value, self.name, time.time()))
         point("driver-after")
         if isinstance(found, Value):
-            log.info("release: %s", step.told)
+            log.info("release: %s", step.reason)
--- a/thistleshore/releases/driver.py
+++ b/thistleshore/releases/driver.py
@@ -48,7 +48,7 @@
     """A change to propose, and why."""
 
     change: Callable[[Value, str, float], Value | Refusal]
-    told: str
+    reason: str
 
 
 def tallies(difference: Mapping[str, Iterable[Counts]]) -> dict[str, Tally]:
@@ -143,7 +143,7 @@
                 continue
             outcome = waves.grant(value, number, name, "", seen.standing, 0.0)
             if isinstance(outcome, Refusal):
-                self.held = outcome.told
+                self.held = outcome.reason
                 continue
             return Step(
                 lambda v, by, when, name=name: waves.grant(v, number, name, by, seen.standing, when),  # type: ignore[misc]
--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -156,4 +156,4 @@
     limit: str
     allowed: int
     out: tuple[str, ...]
-    told: str
+    reason: str
--- a/thistleshore/releases/register.py
+++ b/thistleshore/releases/register.py
@@ -20,7 +20,7 @@
 Ballot = tuple[int, str]  # a number, and who proposes
 NO_BALLOT: Ballot = (0, "")
 Change = Callable[[Value], Value | Refusal]
-Holds = Callable[[str], bool]  # whether the body of that digest is on this voter's disk
+HasBody = Callable[[str], bool]  # whether the body of that digest is on this voter's disk
 
 
 class VoterState(msgspec.Struct, frozen=True):
@@ -78,14 +78,14 @@
 
 def merge_write_counts(*tables: dict[str, int]) -> dict[str, int]:
     """The most that any table says of each."""
-    found: dict[str, int] = {}
+    result: dict[str, int] = {}
     for table in tables:
         for name, writes in table.items():
-            found[name] = max(writes, found.get(name, 0))
-    return found
+            result[name] = max(writes, result.get(name, 0))
+    return result
 
 
-def holds_no_body(digest: str) -> bool:
+def has_no_body(digest: str) -> bool:
     """Of a voter that keeps no bodies of configuration."""
     return False
 
@@ -97,42 +97,42 @@
     majority from which its body can be fetched.
     """
 
-    def __init__(self, held: VoterState, holds: Holds = holds_no_body) -> None:
-        self.held, self.holds = held, holds
+    def __init__(self, state: VoterState, has_body: HasBody = has_no_body) -> None:
+        self.state, self.has_body = state, has_body
 
-    def on_prepare(self, asked: Prepare) -> tuple[VoterState | None, Reply]:
-        held = self.held
-        if problem := self._strange(asked.register, asked.seen):
+    def on_prepare(self, request: Prepare) -> tuple[VoterState | None, Reply]:
+        state = self.state
+        if problem := self._check_request(request.register, request.seen):
             return None, problem
-        if asked.ballot < held.promised:
-            return None, Rejected(held.promised)
-        after = msgspec.structs.replace(held, promised=asked.ballot, writes=held.writes + 1,
-                                        seen=merge_write_counts(held.seen, asked.seen))  # fmt: skip
-        return after, Promise(asked.ballot, held.accepted, held.value, after.writes, after.seen)
-
-    def on_accept(self, asked: Accept) -> tuple[VoterState | None, Reply]:
-        held = self.held
-        if problem := self._strange(asked.register, asked.seen):
+        if request.ballot < state.promised:
+            return None, Rejected(state.promised)
+        after = msgspec.structs.replace(state, promised=request.ballot, writes=state.writes + 1,
+                                        seen=merge_write_counts(state.seen, request.seen))  # fmt: skip
+        return after, Promise(request.ballot, state.accepted, state.value, after.writes, after.seen)
+
+    def on_accept(self, request: Accept) -> tuple[VoterState | None, Reply]:
+        state = self.state
+        if problem := self._check_request(request.register, request.seen):
             return None, problem
-        if asked.ballot < held.promised:
-            return None, Rejected(held.promised)
-        current = asked.value.configuration.current
-        if current is not None and not self.holds(current.digest):
+        if request.ballot < state.promised:
+            return None, Rejected(state.promised)
+        current = request.value.configuration.current
+        if current is not None and not self.has_body(current.digest):
             return None, Unable(f"it does not hold the body of version {current.number}")
         after = msgspec.structs.replace(
-            held,
-            promised=asked.ballot,
-            accepted=asked.ballot,
-            value=asked.value,
-            writes=held.writes + 1,
-            seen=merge_write_counts(held.seen, asked.seen),
+            state,
+            promised=request.ballot,
+            accepted=request.ballot,
+            value=request.value,
+            writes=state.writes + 1,
+            seen=merge_write_counts(state.seen, request.seen),
         )
-        return after, Accepted(asked.ballot, after.writes)
+        return after, Accepted(request.ballot, after.writes)
 
-    def _strange(self, register: int, seen: dict[str, int]) -> Unable | None:
-        if register != self.held.register:
+    def _check_request(self, register: int, seen: dict[str, int]) -> Unable | None:
+        if register != self.state.register:
             return Unable("its file is of another register")
-        if seen.get(self.held.voter, 0) > self.held.writes:
+        if seen.get(self.state.voter, 0) > self.state.writes:
             # It has promised or accepted what it no longer knows of.
             return Unable("its file was set back to an older copy")
         return None
@@ -145,7 +145,7 @@
     value: Value | None = None
     refusal: Refusal | None = None
     higher: Ballot = NO_BALLOT
-    told: str = ""
+    reason: str = ""
 
 
 class Round:
@@ -161,7 +161,7 @@
         self._accepted: set[str] = set()
         self._value: Value | None = None
         self._refusal: Refusal | None = None
-        self._next: frozenset[str] = self.voters
+        self._next_voters: frozenset[str] = self.voters
 
     def start(self) -> dict[str, Prepare | Accept]:
         """What to send to whom."""
@@ -181,11 +181,11 @@
             case Accepted() if reply.ballot == self.ballot and self._value is not None:
                 self._accepted.add(voter)
                 self.seen = merge_write_counts(self.seen, {voter: reply.writes})
-                if self._majority(self._accepted, self.voters) and self._majority(self._accepted, self._next):
+                if self._majority(self._accepted, self.voters) and self._majority(self._accepted, self._next_voters):
                     self.outcome = Outcome("done", self._value, self._refusal)
             case _:
                 self.unable[voter] = reply.why if isinstance(reply, Unable) else "no answer"
-                self._look_lost()
+                self._check_lost()
         return {}
 
     def _promised(self, voter: str, reply: Promise) -> dict[str, Prepare | Accept]:
@@ -196,31 +196,31 @@
                 del self._promises[name]  # set back: its word is not worth a vote
                 self.unable[name] = "its file was set back to an older copy"
         if not self._majority(set(self._promises), self.voters):
-            self._look_lost()
+            self._check_lost()
             return {}
         self.seen = merge_write_counts(self.seen, {name: promise.writes for name, promise in self._promises.items()})
-        found = max(self._promises.values(), key=lambda promise: promise.accepted)
-        if found.value is None:
-            self.outcome = Outcome("lost", told="the register was never begun")
+        latest = max(self._promises.values(), key=lambda promise: promise.accepted)
+        if latest.value is None:
+            self.outcome = Outcome("lost", reason="the register was never begun")
             return {}
-        if frozenset(found.value.voters) != self.voters:
-            self.outcome = Outcome("voters", found.value)
+        if frozenset(latest.value.voters) != self.voters:
+            self.outcome = Outcome("voters", latest.value)
             return {}
-        changed = self.change(found.value)
+        changed = self.change(latest.value)
         # A refusal is agreed as well, by writing the value back: else it might rest on one that is no longer in force.
         self._refusal = changed if isinstance(changed, Refusal) else None
-        self._value = found.value if isinstance(changed, Refusal) else changed
-        self._next = frozenset(self._value.voters)
+        self._value = latest.value if isinstance(changed, Refusal) else changed
+        self._next_voters = frozenset(self._value.voters)
         self.unable = {name: why for name, why in self.unable.items() if name not in self._promises}
         message = Accept(self.register, self.ballot, self._value, self.seen)
-        return dict.fromkeys(sorted(self.voters | self._next), message)
+        return dict.fromkeys(sorted(self.voters | self._next_voters), message)
 
-    def _look_lost(self) -> None:
+    def _check_lost(self) -> None:
         """Whether too many cannot vote for a majority still to come."""
-        for voters in (self.voters, self._next):
+        for voters in (self.voters, self._next_voters):
             if 2 * len(voters - self.unable.keys()) <= len(voters):
-                told = "; ".join(f"{name}: {why}" for name, why in sorted(self.unable.items()))
-                self.outcome = Outcome("lost", told=told)
+                reason = "; ".join(f"{name}: {why}" for name, why in sorted(self.unable.items()))
+                self.outcome = Outcome("lost", reason=reason)
 
     @staticmethod
     def _majority(some: set[str], voters: frozenset[str]) -> bool:
--- a/thistleshore/releases/store.py
+++ b/thistleshore/releases/store.py
@@ -62,17 +62,17 @@
         if not path.exists():
             return None
         try:
-            with sqlite3.connect(f"file:{path}?mode=rw", uri=True) as base:
-                row = base.execute("SELECT format, sum, data FROM held").fetchone()
-            base.close()
+            with sqlite3.connect(f"file:{path}?mode=rw", uri=True) as connection:
+                row = connection.execute("SELECT format, sum, data FROM held").fetchone()
+            connection.close()
         except sqlite3.Error as problem:
             raise Unusable(f"its file is torn: {problem}") from None
         if row is None:
             raise Unusable("its file is empty")
-        form, total, data = row
-        if form != FORMAT:
-            raise Unusable(f"its file has format {form}, and this program reads {FORMAT}")
-        if not isinstance(data, bytes) or zlib.crc32(data) != total:
+        format_number, checksum, data = row
+        if format_number != FORMAT:
+            raise Unusable(f"its file has format {format_number}, and this program reads {FORMAT}")
+        if not isinstance(data, bytes) or zlib.crc32(data) != checksum:
             raise Unusable("its file is torn: the checksum is wrong")
         try:
             return msgspec.msgpack.decode(data, type=VoterState)
@@ -83,15 +83,15 @@
         """Durable once this returns; Unusable where the disk takes nothing (then nothing may be answered)."""
         data = msgspec.msgpack.encode(held)
         try:
-            base = sqlite3.connect(self.folder / FILE, isolation_level=None)
+            connection = sqlite3.connect(self.folder / FILE, isolation_level=None)
             try:
-                base.execute("PRAGMA synchronous = FULL")
-                base.execute("BEGIN IMMEDIATE")
-                base.execute("CREATE TABLE IF NOT EXISTS held (id INTEGER PRIMARY KEY, format, sum, data)")
-                base.execute("INSERT OR REPLACE INTO held VALUES (1, ?, ?, ?)", (FORMAT, zlib.crc32(data), data))
-                base.execute("COMMIT")
+                connection.execute("PRAGMA synchronous = FULL")
+                connection.execute("BEGIN IMMEDIATE")
+                connection.execute("CREATE TABLE IF NOT EXISTS held (id INTEGER PRIMARY KEY, format, sum, data)")
+                connection.execute("INSERT OR REPLACE INTO held VALUES (1, ?, ?, ?)", (FORMAT, zlib.crc32(data), data))
+                connection.execute("COMMIT")
             finally:
-                base.close()
+                connection.close()
         except sqlite3.Error as problem:
             raise Unusable(f"its disk takes nothing: {problem}") from None
 
--- a/thistleshore/releases/voter.py
+++ b/thistleshore/releases/voter.py
@@ -27,20 +27,21 @@
 log = logging.getLogger("thistleshore")
 
 REPORT_LIFETIME = 3.0  # s for which a voter tells what an instance reported
-SET_BACK = "its file was set back to an older copy"
+ROLLED_BACK = "its file was set back to an older copy"
 
 
 class Voter:
     """This instance's vote, where it has one: nothing is answered before it is on the disk."""
 
     def __init__(self, name: str, folder: Path, bodies: BodyStore | None = None) -> None:
-        self.name, self.folder, self.why = name, folder, "it does not run yet"
+        self.name, self.folder, self.unable_reason = name, folder, "it does not run yet"
         self.bodies = bodies  # None: it keeps none, and accepts no value with a configuration
         self.store: Store | None = None
         self.acceptor: Acceptor | None = None
         self.reports: dict[str, tuple[float, Report]] = {}
-        self.seen: dict[str, int] = {}  # writes of each voter that were told of
-        self._checked: set[str] = set()  # voters that have said what they know of this one, since the file was read
+        self.seen: dict[str, int] = {}  # highest known write count of each voter
+        # Voters that have reported their count of this voter's writes since its file was read.
+        self._checked_voters: set[str] = set()
 
     async def open(self) -> None:
         """Have the file, once no other process holds it: in a hot restart the one before does, until it steps aside."""
@@ -49,13 +50,13 @@
                 self.store = Store(self.folder)
                 break
             except Busy as problem:
-                if self.why != str(problem):
-                    self.why = str(problem)
-                    log.warning("register: no vote here: %s", self.why)
+                if self.unable_reason != str(problem):
+                    self.unable_reason = str(problem)
+                    log.warning("register: no vote here: %s", self.unable_reason)
                 await trio.sleep(TAKEN_PAUSE)
             except Unusable as problem:
-                self.why = str(problem)
-                log.warning("register: no vote here: %s", self.why)
+                self.unable_reason = str(problem)
+                log.warning("register: no vote here: %s", self.unable_reason)
                 return
         self._read(self.store)
 
@@ -64,95 +65,96 @@
         if self.store is not None:
             self.store.close()
         self.store = self.acceptor = None
-        self._checked.clear()
-        self.why = "the next process votes"
+        self._checked_voters.clear()
+        self.unable_reason = "the next process votes"
 
-    def on_known(self, voter: str, seen: Mapping[str, int], voters: Sequence[str]) -> None:
+    def on_write_counts(self, voter: str, seen: Mapping[str, int], voters: Sequence[str]) -> None:
         """What another voter knows of this one's writes.  A file is believed only once a majority was heard: one that
         was set back would else make up, by votes that are none, for the writes it has lost."""
-        if self.acceptor is None or self.name in self._checked:
+        if self.acceptor is None or self.name in self._checked_voters:
             return
-        if seen.get(self.name, 0) > self.acceptor.held.writes:
-            self.acceptor, self.why = None, SET_BACK
-            log.warning("register: no vote here: %s", self.why)
+        if seen.get(self.name, 0) > self.acceptor.state.writes:
+            self.acceptor, self.unable_reason = None, ROLLED_BACK
+            log.warning("register: no vote here: %s", self.unable_reason)
             return
-        self._checked.add(voter)
-        if 2 * (len(self._checked & set(voters)) + 1) > len(voters):
-            self._checked.add(self.name)
+        self._checked_voters.add(voter)
+        if 2 * (len(self._checked_voters & set(voters)) + 1) > len(voters):
+            self._checked_voters.add(self.name)
 
     def _read(self, store: Store) -> None:
-        self.why = ""
+        self.unable_reason = ""
         try:
             held = store.read()
             if held is None:
-                self.why = "it holds nothing yet, or its file was lost"
+                self.unable_reason = "it holds nothing yet, or its file was lost"
             elif held.voter != self.name:
-                self.why = f"its file is that of {held.voter}"
+                self.unable_reason = f"its file is that of {held.voter}"
             else:
-                self.acceptor = Acceptor(held, self._holds)
+                self.acceptor = Acceptor(held, self._has_body)
         except Unusable as problem:
-            self.why = str(problem)
-        if self.why:
-            log.warning("register: no vote here: %s", self.why)
+            self.unable_reason = str(problem)
+        if self.unable_reason:
+            log.warning("register: no vote here: %s", self.unable_reason)
 
-    def _holds(self, digest: str) -> bool:
+    def _has_body(self, digest: str) -> bool:
         return self.bodies is not None and self.bodies.read(digest) is not None
 
-    def answer(self, asked: Question, now: float) -> Answer:
+    def answer(self, request: Question, now: float) -> Answer:
         """What to answer; the state it speaks of is durable by then."""
-        if isinstance(asked, Learn):
-            self.seen = merge_write_counts(self.seen, asked.seen)
-            return self._known(asked, now)
-        if isinstance(asked, Install):
-            return self._install(asked)
-        if isinstance(asked, Deposit):
-            return self._deposit(asked)
-        if isinstance(asked, FetchBody):
-            return self._fetch_body(asked)
-        if self.acceptor is None or self.store is None:
-            return Unable(self.why)
-        value = self.acceptor.held.value
-        if self.name not in self._checked and (value is None or value.voters != (self.name,)):
+        if isinstance(request, Learn):
+            self.seen = merge_write_counts(self.seen, request.seen)
+            return self._known(request, now)
+        if isinstance(request, Install):
+            return self._install(request)
+        if isinstance(request, Deposit):
+            return self._deposit(request)
+        if isinstance(request, FetchBody):
+            return self._fetch_body(request)
+        acceptor = self.acceptor
+        if acceptor is None or self.store is None:
+            return Unable(self.unable_reason)
+        value = acceptor.state.value
+        if self.name not in self._checked_voters and (value is None or value.voters != (self.name,)):
             return Unable("it has not heard yet what the others know of it")
-        after, reply = self.acceptor.on_prepare(asked) if isinstance(asked, Prepare) else self.acceptor.on_accept(asked)
+        after, reply = acceptor.on_prepare(request) if isinstance(request, Prepare) else acceptor.on_accept(request)
         if after is not None:
             try:
                 self.store.write(after)
             except Unusable as problem:
                 return Unable(str(problem))
-            self.acceptor.held = after
+            acceptor.state = after
         return reply
 
-    def _deposit(self, asked: Deposit) -> Deposited | Unable:
+    def _deposit(self, request: Deposit) -> Deposited | Unable:
         if self.bodies is None:
             return Unable("it keeps no bodies of configuration")
         if self.store is None:
-            return Unable(self.why)
-        value = self.acceptor.held.value if self.acceptor is not None else None
+            return Unable(self.unable_reason)
+        value = self.acceptor.state.value if self.acceptor is not None else None
         history = value.configuration.history if value is not None else ()
         try:
-            self.bodies.keep(asked.digest, asked.body, {entry.digest for entry in history})
+            self.bodies.keep(request.digest, request.body, {entry.digest for entry in history})
         except Unusable as problem:
             return Unable(str(problem))
-        return Deposited(asked.digest)
+        return Deposited(request.digest)
 
-    def _fetch_body(self, asked: FetchBody) -> Body | Unable:
-        body = self.bodies.read(asked.digest) if self.bodies is not None else None
-        return Unable("it does not hold that body") if body is None else Body(asked.digest, body)
+    def _fetch_body(self, request: FetchBody) -> Body | Unable:
+        body = self.bodies.read(request.digest) if self.bodies is not None else None
+        return Unable("it does not hold that body") if body is None else Body(request.digest, body)
 
-    def _known(self, asked: Learn, now: float) -> Known:
-        if asked.report is not None:
-            self.reports[asked.report.name] = now, asked.report
-        held = self.acceptor.held if self.acceptor is not None else VoterState(0, self.name)
+    def _known(self, request: Learn, now: float) -> Known:
+        if request.report is not None:
+            self.reports[request.report.name] = now, request.report
+        held = self.acceptor.state if self.acceptor is not None else VoterState(0, self.name)
         # One ballot of one register has one value.
-        unchanged = held.value is not None and (held.register, held.accepted) == (asked.register, asked.holds)
+        unchanged = held.value is not None and (held.register, held.accepted) == (request.register, request.holds)
         return Known(
             accepted=held.accepted,
             value=None if unchanged else held.value,
             register=held.register,
             writes=held.writes,
-            why=self.why,
-            reports=self._fresh_reports(now) if asked.wants_reports else (),
+            why=self.unable_reason,
+            reports=self._fresh_reports(now) if request.wants_reports else (),
             seen=merge_write_counts(held.seen, self.seen),
             unchanged=unchanged,
         )
@@ -160,20 +162,20 @@
     def _fresh_reports(self, now: float) -> tuple[Report, ...]:
         return tuple(report for at, report in self.reports.values() if now - at <= REPORT_LIFETIME)
 
-    def _install(self, asked: Install) -> Reply:
-        if self.store is None or asked.held.voter != self.name:
-            return Unable(self.why or "that is another voter's state")
-        if self.acceptor is not None and (asked.begin or asked.held.register != self.acceptor.held.register):
+    def _install(self, request: Install) -> Reply:
+        if self.store is None or request.held.voter != self.name:
+            return Unable(self.unable_reason or "that is another voter's state")
+        if self.acceptor is not None and (request.begin or request.held.register != self.acceptor.state.register):
             return Unable("it holds a register already")
         try:
-            if asked.begin and self.store.read() is not None:
+            if request.begin and self.store.read() is not None:
                 return Unable("it holds a register already")
-            if not asked.begin:
+            if not request.begin:
                 self.store.set_aside()
-            self.store.write(asked.held)
+            self.store.write(request.held)
         except Unusable as problem:
             return Unable(str(problem))
-        self.acceptor, self.why = Acceptor(asked.held, self._holds), ""
-        self._checked.add(self.name)
+        self.acceptor, self.unable_reason = Acceptor(request.held, self._has_body), ""
+        self._checked_voters.add(self.name)
         log.info("register: this instance votes")
-        return Accepted(asked.held.accepted, asked.held.writes)
+        return Accepted(request.held.accepted, request.held.writes)
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -62,10 +62,10 @@
     releases = components.releases = Releases(
         plan=plan.releases,
         name=machine.me.name,
-        life=machine.me.generation,
-        standing=lambda: standing(machine, broker, trio.current_time()),
+        generation=machine.me.generation,
+        observe=lambda: standing(machine, broker, trio.current_time()),
         ban=control.ban,
-        clear=control.is_clear,
+        is_clear=control.is_clear,
         ready=components.ready,
         zones=control.zones,
         drain=components.drain,
