--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -1,4 +1,7 @@
-"""The one task that owns the decision module; everything reaches it by one memory channel."""
+"""The task that owns the decision module and carries out its actions.
+
+All other tasks reach it through one memory channel.
+"""
 
 from __future__ import annotations
 
@@ -21,23 +24,25 @@
 from thistleshore.core.host_log import HostLog
 from thistleshore.invariants import invariant
 
-if TYPE_CHECKING:  # an operator's; the platform has no contracts
+if TYPE_CHECKING:  # only operator dispatchers have contracts; platform dispatchers do not load them
     from thistleshore.contracts import Ledger
     from thistleshore.contracts.exchange import Exchange
 
 log = logging.getLogger("thistleshore")
 
-QUEUE = 2048  # events that may wait for the broker; a front that is ahead of it waits
-ANSWER_LEAD = 0.01  # s before a deadline at which an upstream request times out, so that the answer is in time
-FIGURES_EVERY = 10.0  # s between two lines of figures in the log
-ANSWERS = {model.Served: "served", model.LocalReply: "refused", model.Failed: "failed"}  # as a ledger calls them
-COUNTED = {model.Served: "succeeded", model.LocalReply: "declined", model.Failed: "aborted"}  # as figures do
-LOOK = -1  # the token of the timer while something waits beyond its share
-FIGURES = 0  # the token of that timer: the module's tokens are those of streams, numbered from 1
+QUEUE = 2048  # capacity of the inbox, events; a front blocks while it is full
+ANSWER_LEAD = (
+    0.01  # seconds; upstream requests time out this long before the stream's deadline, so that the answer is in time
+)
+FIGURES_EVERY = 10.0  # seconds between two lines of counts in the log
+ANSWERS = {model.Served: "served", model.LocalReply: "refused", model.Failed: "failed"}  # names in the ledger
+COUNTED = {model.Served: "succeeded", model.LocalReply: "declined", model.Failed: "aborted"}  # names in ClassFigures
+LOOK = -1  # timer token: ask the ledger again while streams beyond their share wait
+FIGURES = 0  # timer token: log the counts; the module's tokens are stream numbers, from 1
 
 
 class Broker:
-    """Hands events to the module in order and carries out its actions in order."""
+    """Pass events to the decision module in order, and carry out its actions in order."""
 
     def __init__(self, brain: Brain, classes: tuple[str, ...] = ()) -> None:
         self.brain = brain
@@ -45,42 +50,48 @@
         self.name_classes(classes)
         self.ledger: Ledger | None = None
         self.exchange: Exchange | None = None
-        self.exchange_datagram_counts: Counter[str] = Counter()  # datagrams of the exchange, by fate
-        self.carriers: dict[type, model.UpstreamFront] = {}  # by the type of a host address
+        self.exchange_datagram_counts: Counter[str] = Counter()  # datagrams of the lease exchange, by outcome
+        self.carriers: dict[type, model.UpstreamFront] = {}  # by the type of a host's address
         self.notebook = Notebook()
-        self.on_attempt: Callable[[model.UpstreamRequest, Status, float], None] | None = None  # as each has ended
-        self.send_notes: Callable[[bytes, tuple[int, ...] | None], None] | None = None  # to some dispatchers, or to all
+        self.on_attempt: Callable[[model.UpstreamRequest, Status, float], None] | None = (
+            None  # called when an attempt ends
+        )
+        self.send_notes: Callable[[bytes, tuple[int, ...] | None], None] | None = (
+            None  # to the numbered dispatchers, or to all (None)
+        )
         self.inbox, self._events = trio.open_memory_channel[model.Event](QUEUE)
         self._urgent: deque[model.Event] = deque()
         self.hosts: dict[bytes, model.UpstreamHost] = {}
-        self.version: int | None = None  # of discovery's list that these are
-        self.hosts_listed = trio.Event()  # a list of upstream hosts is in the module
+        self.version: int | None = None  # of the discovery list that `hosts` was read from
+        self.hosts_listed = trio.Event()  # set once the module has a list of upstream hosts
         self.event_counts: Counter[str] = Counter()
         self.host_log = HostLog(brain.set.cold_span)
         self._streams: dict[int, model.Stream] = {}
-        self._out: dict[int, list[model.UpstreamRequest]] = {}  # every upstream request of a stream, by number
-        self._left: Counter[int] = Counter()  # upstream requests of a stream that have not ended
+        self._out: dict[int, list[model.UpstreamRequest]] = {}  # upstream requests of each stream, by attempt number
+        self._left: Counter[int] = Counter()  # how many upstream requests of each stream have not ended
         self._states: dict[bytes, tuple[State, int]] = {}
         self._timers: list[tuple[float, int]] = []
         self._numbers = count(1)
-        self._asks: dict[int, Request] = {}  # of streams that the ledger has not offered yet
+        self._asks: dict[int, Request] = {}  # requests that the ledger has not offered yet, by stream
         self._looking = False
 
     def name_classes(self, names: tuple[str, ...]) -> None:
-        """What the settings call the classes, by their numbers."""
+        """Set the names of the classes, in the order of their numbers."""
         self._counts = [self.process_figures.of(name) for name in names]
 
     @property
     def open_streams(self) -> int:
+        """How many streams have no final answer, or attempts that have not ended."""
         return len(self._streams)
 
     def figures_snapshot(self) -> dict[str, Any]:
-        """The figures as of now; what hosts come to is read from the module."""
+        """Return the current counts for the admin interface and metrics; host counts are read from the module."""
         now, brain = trio.current_time(), self.brain
         avoided = (name in brain.banned or now < brain.workers[name].shunned_until for name in self.hosts)
         return self.process_figures.snapshot(len(self.hosts), sum(avoided))
 
     async def run(self) -> None:
+        """Handle events and timers until cancelled."""
         heappush(self._timers, (trio.current_time() + FIGURES_EVERY, FIGURES))
         async with trio.open_nursery() as self._attempts:
             while True:
@@ -91,24 +102,25 @@
                     if self.ledger is not None:
                         self._offer(self.ledger, now)
                 except Exception:
-                    # A fault met at one event must not lose every other stream that was taken.
+                    # An exception on one event must not lose all other accepted streams.
                     log.exception("fault in the broker at %s", type(event).__name__)
                     self._rescue(event)
-                    invariant(False, "an event is told without a fault")
+                    invariant(False, "an event is handled without an exception")
 
     def post(self, event: model.Event) -> None:
-        """An event that is told before all that waits in the inbox, in the order of such events; does not wait.
+        """Queue an event ahead of everything in the inbox, after earlier urgent events; never blocks.
 
-        Drains: behind a full inbox a list of hosts would be known late, and all that is before it be sent by the old.
+        Used for drains: a list of hosts behind a full inbox would take effect late, and the streams ahead of it would
+        be sent by the old list.
         """
         self._urgent.append(event)
-        with suppress(trio.WouldBlock):  # full: the broker does not sleep, and looks here first
+        with suppress(trio.WouldBlock):  # inbox full: the broker is awake, and reads urgent events first
             self.inbox.send_nowait(model.UrgentEventPosted())
 
     async def _next(self) -> model.Event | None:
-        """The next event, or None when a timer is due."""
+        """Return the next event, or None when a timer is due."""
         if self._urgent or self._timers[0][0] <= trio.current_time():
-            await trio.lowlevel.checkpoint()  # a run of due timers must not starve the sockets
+            await trio.lowlevel.checkpoint()  # many due timers in a row must not starve the sockets
             return self._urgent.popleft() if self._urgent else None
         with trio.move_on_at(self._timers[0][0]):
             return await self._events.receive()
@@ -118,11 +130,13 @@
         _, token = heappop(self._timers)
         if token == LOOK:
             self._looking = False
-            return []  # what waits is offered after every event
+            return []  # waiting streams are offered after every event
         if token == FIGURES:
             heappush(self._timers, (now + FIGURES_EVERY, FIGURES))
             open_now = sum(not stream.over for stream in self._streams.values())
-            invariant(self.process_figures.outstanding == open_now, "streams that are open are counted")
+            invariant(
+                self.process_figures.outstanding == open_now, "the outstanding count equals the number of open streams"
+            )
             self._log_figures()
             return []
         return self.brain.on_timer(token, now)
@@ -136,7 +150,7 @@
             log.info("attempts at hosts that failed some: %s", failing)
 
     def _rescue(self, event: model.Event | None) -> None:
-        """A stream whose event met a fault may never be named again: its downstream must not wait for that."""
+        """Fail the stream whose event raised: no later event may name it, and its downstream would wait forever."""
         if isinstance(event, model.StreamOpened | model.UpstreamEnded):
             stream = event.stream if isinstance(event, model.StreamOpened) else event.request.stream
             if not stream.over:
@@ -148,7 +162,7 @@
         if isinstance(event, model.UpstreamEnded):
             return self._ended(event, now)
         if isinstance(event, model.UrgentEventPosted):
-            return []  # what was posted is told next
+            return []  # the urgent event itself is read next
         if isinstance(event, model.StreamOpened):
             return self._opened(event.stream, now)
         if isinstance(event, model.UpstreamStarted):
@@ -172,13 +186,13 @@
         return self._update_hosts(event, now)
 
     def _ban(self, event: model.BanRequested, now: float) -> list[Action]:
-        """A host that the list has dropped can be called back; one that nobody has heard of cannot be taken out."""
+        """Ban or readmit a host; a host that is neither listed nor banned is unknown and cannot be banned."""
         host = self.hosts.get(event.host)
         event.known = event.known or host is not None or event.host in self.brain.banned
         actions = self.brain.on_ban(event.host, event.out, now) if event.known else []
         if host is not None and host.banned != event.out:
             host.banned = event.out
-            host.generation += 1  # it is restarted meanwhile: connections to what it was are of no use
+            host.generation += 1  # it may restart while it is banned, so old connections are stale
             self._close_idle(host)
         event.done.set()
         return actions
@@ -209,7 +223,7 @@
         return []
 
     def _offer(self, ledger: Ledger, now: float) -> None:
-        """Hand the module what the ledger offers, in its order, and look again while something waits there."""
+        """Pass the streams that the ledger offers to the module, in order; set a timer while streams wait there."""
         while due := ledger.due(now):
             for offer in due:
                 ask, stream = self._asks.pop(offer.stream, None), self._streams.get(offer.stream)
@@ -222,7 +236,7 @@
 
     def _withdrawn(self, stream: model.Stream, now: float) -> list[Action]:
         if stream.over:
-            return []  # the answer crossed with the downstream's going away
+            return []  # the answer was given before the withdrawal arrived
         stream.withdrawn = True
         stream.answered.set()
         self.event_counts["withdrawn"] += 1
@@ -235,7 +249,7 @@
         return actions
 
     def _call_off_unsent(self, stream: model.Stream) -> None:
-        """What a stream that is over has begun and not written, as while it connects, must not be written later."""
+        """Cancel attempts of a finished stream that are not written yet, for instance while they connect."""
         for request in self._out.get(stream.id, ()):
             if not request.sent:
                 request.cancelled = True
@@ -255,7 +269,7 @@
         if outcome.status is Status.OK and not stream.over and outcome.result is not None:
             self._finish(stream, model.Served(outcome.result))
         elif not stream.over and not stream.wanted:
-            # That its downstream has gone may wait in the inbox behind this: no other attempt may begin meanwhile.
+            # The downstream has gone and its withdrawal may still be in the inbox: no further attempt may start.
             withdrawn = self._withdrawn(stream, now)
         told = Outcome(
             stream.id, request.number, request.host.id, outcome.status, event.took, stream.over, outcome.report
@@ -266,17 +280,17 @@
 
     @staticmethod
     def _worked(event: model.UpstreamEnded, now: float) -> float:
-        """Seconds that an attempt held a host's slot, as far as that is known; what never ran held none."""
+        """Return the seconds for which an attempt occupied a slot, as far as known; 0 if it never ran."""
         if event.outcome.status in NEVER_RAN or not event.request.sent:
             return 0.0
         return now - event.request.started if event.request.started else event.took
 
     def exchange_datagrams(self, now: float) -> list[tuple[int, bytes]]:
-        """The datagrams to send to the other instances now, by their numbers."""
+        """Return the datagrams to send now, each with the number of the instance it goes to."""
         if self.ledger is None or self.exchange is None:
             return []
         self.exchange.on_demand(self.ledger.demands(now))
-        # A host that reserves is one instance's alone: only of those that are dialled do others need to know.
+        # A host that connects to us serves only this instance; peers need to know only about hosts that we connect to.
         out = {
             host.id: self.brain.workers[host.id].out
             for host in self.hosts.values()
@@ -286,7 +300,7 @@
         return self.exchange.due(now)
 
     def _on_peer_datagram(self, data: bytes, now: float) -> list[Action]:
-        """Leases, and what a peer has out at each host: news of it as good as its own."""
+        """Take leases and the peer's attempts in flight at each host; these count like a report from the host."""
         actions: list[Action] = []
         if self.exchange is not None and self.exchange.on_datagram(data, now):
             for name, worker in self.brain.workers.items():
@@ -301,7 +315,7 @@
         self.version = event.version if event.version is not None else self.version
         if event.kind is not ListKind.CHANGES:
             for host in self.hosts.values():
-                if host.id not in named:  # what a whole list leaves out is gone
+                if host.id not in named:  # a full list removes the hosts that it does not name
                     host.entry = host.entry._replace(state=State.GONE)
         for line in event.lines:
             known = self.hosts.get(line.entry.worker)
@@ -311,7 +325,7 @@
                 )
                 continue
             if known.address != line.address or known.entry.started_at != line.entry.started_at:
-                self._close_idle(known)  # connections to what it was before are of no use
+                self._close_idle(known)  # connections to the previous process or address are stale
                 known.generation += 1
                 known.address = line.address
             known.entry = line.entry
@@ -319,7 +333,7 @@
             if not host.ready:
                 self._close_idle(host)
         states = {host.id: (host.entry.state, host.generation) for host in self.hosts.values()}
-        if states != self._states:  # weights change every second, and would bury what matters
+        if states != self._states:  # changes of weight alone are not logged: they come every second
             ready = sum(host.ready for host in self.hosts.values())
             log.info("hosts told: %s list, %d hosts, %d ready", event.kind.value, len(states), ready)
         self._states = states
@@ -328,7 +342,7 @@
         entries = tuple(line.entry for line in event.lines)
         self.notebook.list_names(entries, event.kind is not ListKind.CHANGES)
         actions = self.brain.on_list(event.kind, entries, now)
-        # Hosts that are gone are forgotten, or a year of deploys would fill the memory; the module keeps its own.
+        # Drop hosts that are gone, or memory would grow with every deploy; the module keeps its own records.
         self.hosts = {name: host for name, host in self.hosts.items() if host.entry.state is not State.GONE}
         self.hosts_listed.set()
         return actions
@@ -351,11 +365,11 @@
                         self.send_notes(data, action.to)
             elif isinstance(action, Log):
                 log.info("module: %s", self._named(action.text))
-            else:  # discovery watches by itself
-                invariant(isinstance(action, Watch), "every action is known")
+            else:  # Watch needs nothing: discovery watches on its own
+                invariant(isinstance(action, Watch), "every action has a handler")
 
     def _named(self, text: str) -> str:
-        """The module names hosts by their bytes; who reads the log wants the list's name."""
+        """Replace host ids in hexadecimal by the names in the list, for readers of the log."""
         for host in self.hosts.values():
             text = text.replace(host.id.hex(), host.id.decode(errors="replace"))
         return text
@@ -365,7 +379,7 @@
         if stream is None or not invariant(not stream.over, "nothing is sent for a stream that is over"):
             return
         host = self.hosts.get(action.worker)
-        if host is None:  # forgotten as gone: the module knows it still, so it hears that nothing was sent
+        if host is None:  # dropped here, but still known to the module, which must learn that nothing was sent
             host = model.UpstreamHost(action.worker, None, self.brain.workers[action.worker].entry)
         deadline = stream.deadline - ANSWER_LEAD
         if action.timeout:
@@ -380,7 +394,7 @@
 
     async def _attempt(self, request: model.UpstreamRequest) -> None:
         begun = trio.current_time()
-        # Out of time before it began, or for a host that is forgotten: nothing was sent, and that is no news of it.
+        # Past its deadline, or its host was dropped: nothing is sent, and the outcome says nothing about the host.
         late = request.deadline <= begun or request.host.address is None
         outcome = model.UpstreamOutcome(Status.MOOT) if late else None
         with request.scope:
@@ -388,7 +402,7 @@
             try:
                 outcome = outcome or await self._carrier(request.host).carry(request, self.inbox)
             except Exception:
-                # A fault in one upstream request must not end the others; may it have run, that is said.
+                # An exception in one upstream request must not end the others; RESET tells that it may have run.
                 log.exception("fault in an upstream request to %s", request.host.id.decode(errors="replace"))
                 outcome = model.UpstreamOutcome(Status.RESET if request.sent else Status.CONNECT_FAILED)
         if outcome is None and request.cancelled:
@@ -428,7 +442,7 @@
                 self.ledger.on_answered(stream.id, ANSWERS[type(answer)], trio.current_time())
 
     def _forget(self, stream: model.Stream) -> None:
-        """Drop the records of a stream that is over and has nothing out."""
+        """Drop the records of a finished stream whose attempts have all ended."""
         if stream.over and not self._left[stream.id]:
             for records in (self._streams, self._out, self._left):
                 records.pop(stream.id, None)
