--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -230,9 +230,9 @@
             await tier.inbox.opened.wait()
             stream = tier.broker._events.receive_nowait()
             assert isinstance(stream, model.StreamOpened)
-            tier.broker._opened(stream.stream, trio.current_time())
+            tier.broker._on_opened(stream.stream, trio.current_time())
             await client.send_all(b"POST")
-            tier.broker._withdrawn(stream.stream, trio.current_time())
+            tier.broker._on_withdrawn(stream.stream, trio.current_time())
             said = await read_all(client)
             nursery.cancel_scope.cancel()
         return said, tier.heads
@@ -260,7 +260,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(tubes.Hosts, "_take", late)
-        withdrawn = Broker._withdrawn
+        withdrawn = Broker._on_withdrawn
 
         def unheard(self: Broker, stream: model.Stream, now: float) -> list[Any]:
             if not offered.is_set():
@@ -268,6 +268,6 @@
                 return []
             return withdrawn(self, stream, now)
 
-        patch.setattr(Broker, "_withdrawn", unheard)
+        patch.setattr(Broker, "_on_withdrawn", unheard)
         deleted, runs = play(at.run, scenario)
     assert deleted == b"DELETED" and runs == 0 and not at.runs
--- a/thistleshore/admin/listener.py
+++ b/thistleshore/admin/listener.py
@@ -113,7 +113,7 @@
             await self.inbox.send(asked)
             await asked.done.wait()
             if asked.known and self.tell_ban is not None:
-                await self.tell_ban(call.host, asked.out)
+                await self.tell_ban(call.host, asked.banned)
             return codec.yes() if asked.known else codec.no("no ticket worker has that ID")
         return codec.no("not done yet")  # it is in the queue, and will be
 
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -31,14 +31,13 @@
 log = logging.getLogger("thistleshore")
 
 QUEUE = 2048  # capacity of the inbox, events; a front blocks while it is full
-ANSWER_LEAD = (
-    0.01  # seconds; upstream requests time out this long before the stream's deadline, so that the answer is in time
-)
-FIGURES_EVERY = 10.0  # seconds between two lines of counts in the log
-ANSWERS = {model.Served: "served", model.LocalReply: "refused", model.Failed: "failed"}  # names in the ledger
-COUNTED = {model.Served: "succeeded", model.LocalReply: "declined", model.Failed: "aborted"}  # names in ClassFigures
-LOOK = -1  # timer token: ask the ledger again while streams beyond their share wait
-FIGURES = 0  # timer token: log the counts; the module's tokens are stream numbers, from 1
+ANSWER_LEAD = 0.01  # seconds by which upstream requests time out before the deadline, so that the answer is in time
+FIGURES_INTERVAL = 10.0  # seconds between two lines of counts in the log
+# Final answers by the ledger's names for them, and by the fields of ClassFigures.
+LEDGER_OUTCOMES = {model.Served: "served", model.LocalReply: "refused", model.Failed: "failed"}
+FIGURES_FIELDS = {model.Served: "succeeded", model.LocalReply: "declined", model.Failed: "aborted"}
+LEDGER_TIMER = -1  # timer token: ask the ledger again while streams beyond their share wait
+FIGURES_TIMER = 0  # timer token: log the counts; the module's tokens are stream numbers, from 1
 
 
 class Broker:
@@ -67,13 +66,14 @@
         self.event_counts: Counter[str] = Counter()
         self.host_log = HostLog(brain.set.cold_span)
         self._streams: dict[int, model.Stream] = {}
-        self._out: dict[int, list[model.UpstreamRequest]] = {}  # upstream requests of each stream, by attempt number
-        self._left: Counter[int] = Counter()  # how many upstream requests of each stream have not ended
-        self._states: dict[bytes, tuple[State, int]] = {}
+        # Upstream requests of each stream, by attempt number, and how many of them have not ended.
+        self._attempts: dict[int, list[model.UpstreamRequest]] = {}
+        self._attempts_in_flight: Counter[int] = Counter()
+        self._logged_states: dict[bytes, tuple[State, int]] = {}
         self._timers: list[tuple[float, int]] = []
         self._numbers = count(1)
-        self._asks: dict[int, Request] = {}  # requests that the ledger has not offered yet, by stream
-        self._looking = False
+        self._unoffered: dict[int, Request] = {}  # requests that the ledger has not offered yet, by stream
+        self._ledger_timer_set = False
 
     def name_classes(self, names: tuple[str, ...]) -> None:
         """Set the names of the classes, in the order of their numbers."""
@@ -92,19 +92,19 @@
 
     async def run(self) -> None:
         """Handle events and timers until cancelled."""
-        heappush(self._timers, (trio.current_time() + FIGURES_EVERY, FIGURES))
-        async with trio.open_nursery() as self._attempts:
+        heappush(self._timers, (trio.current_time() + FIGURES_INTERVAL, FIGURES_TIMER))
+        async with trio.open_nursery() as self._attempt_nursery:
             while True:
                 event = await self._next()
                 now = trio.current_time()
                 try:
-                    self._carry_out(self._fire_timer(now) if event is None else self._handle(event, now), now)
+                    self._carry_out(self._fire_timer(now) if event is None else self._dispatch_event(event, now), now)
                     if self.ledger is not None:
                         self._offer(self.ledger, now)
                 except Exception:
                     # An exception on one event must not lose all other accepted streams.
                     log.exception("fault in the broker at %s", type(event).__name__)
-                    self._rescue(event)
+                    self._fail_stream_of(event)
                     invariant(False, "an event is handled without an exception")
 
     def post(self, event: model.Event) -> None:
@@ -128,11 +128,11 @@
 
     def _fire_timer(self, now: float) -> list[Action]:
         _, token = heappop(self._timers)
-        if token == LOOK:
-            self._looking = False
+        if token == LEDGER_TIMER:
+            self._ledger_timer_set = False
             return []  # waiting streams are offered after every event
-        if token == FIGURES:
-            heappush(self._timers, (now + FIGURES_EVERY, FIGURES))
+        if token == FIGURES_TIMER:
+            heappush(self._timers, (now + FIGURES_INTERVAL, FIGURES_TIMER))
             open_now = sum(not stream.over for stream in self._streams.values())
             invariant(
                 self.process_figures.outstanding == open_now, "the outstanding count equals the number of open streams"
@@ -149,27 +149,27 @@
         if failing := self.host_log.take_failure_summary():
             log.info("attempts at hosts that failed some: %s", failing)
 
-    def _rescue(self, event: model.Event | None) -> None:
+    def _fail_stream_of(self, event: model.Event | None) -> None:
         """Fail the stream whose event raised: no later event may name it, and its downstream would wait forever."""
         if isinstance(event, model.StreamOpened | model.UpstreamEnded):
             stream = event.stream if isinstance(event, model.StreamOpened) else event.request.stream
             if not stream.over:
                 self._finish(stream, model.Failed("fault in the dispatcher"))
-                for request in self._out.get(stream.id, ()):
+                for request in self._attempts.get(stream.id, ()):
                     request.scope.cancel()
 
-    def _handle(self, event: model.Event, now: float) -> list[Action]:
+    def _dispatch_event(self, event: model.Event, now: float) -> list[Action]:
         if isinstance(event, model.UpstreamEnded):
-            return self._ended(event, now)
+            return self._on_attempt_ended(event, now)
         if isinstance(event, model.UrgentEventPosted):
             return []  # the urgent event itself is read next
         if isinstance(event, model.StreamOpened):
-            return self._opened(event.stream, now)
+            return self._on_opened(event.stream, now)
         if isinstance(event, model.UpstreamStarted):
             event.request.started = event.request.started or now
             return self.brain.on_started(event.request.stream.id, event.request.number, now)
         if isinstance(event, model.StreamWithdrawn):
-            return self._withdrawn(event.stream, now)
+            return self._on_withdrawn(event.stream, now)
         if isinstance(event, model.NotesReceived):
             notes = self.notebook.read(event.peer, event.data, now)
             return self.brain.on_told(event.peer, notes, now) if notes else []
@@ -178,34 +178,34 @@
         if isinstance(event, model.HostReported):
             return self.brain.on_report(event.host, event.report, now)
         if isinstance(event, model.BanRequested):
-            return self._ban(event, now)
+            return self._on_ban_requested(event, now)
         if isinstance(event, model.SettingsChanged):
             self.name_classes(event.names)
             self.host_log.window = event.settings.cold_span
             return self.brain.on_settings(event.settings, now)
-        return self._update_hosts(event, now)
+        return self._on_host_list(event, now)
 
-    def _ban(self, event: model.BanRequested, now: float) -> list[Action]:
+    def _on_ban_requested(self, event: model.BanRequested, now: float) -> list[Action]:
         """Ban or readmit a host; a host that is neither listed nor banned is unknown and cannot be banned."""
         host = self.hosts.get(event.host)
         event.known = event.known or host is not None or event.host in self.brain.banned
-        actions = self.brain.on_ban(event.host, event.out, now) if event.known else []
-        if host is not None and host.banned != event.out:
-            host.banned = event.out
+        actions = self.brain.on_ban(event.host, event.banned, now) if event.known else []
+        if host is not None and host.banned != event.banned:
+            host.banned = event.banned
             host.generation += 1  # it may restart while it is banned, so old connections are stale
             self._close_idle(host)
         event.done.set()
         return actions
 
-    def _opened(self, stream: model.Stream, now: float) -> list[Action]:
+    def _on_opened(self, stream: model.Stream, now: float) -> list[Action]:
         stream.id = next(self._numbers)
         self._streams[stream.id] = stream
-        self._out[stream.id] = []
+        self._attempts[stream.id] = []
         self.event_counts["taken"] += 1
         if stream.job_class < len(self._counts):
             stream.counts = self._counts[stream.job_class]
         self.process_figures.outstanding += 1
-        ask = Request(
+        request = Request(
             stream.id,
             stream.job_class,
             stream.deadline - now,
@@ -215,26 +215,26 @@
             spare=stream.spare,
         )
         if self.ledger is None:
-            return self.brain.on_request(ask, now)
+            return self.brain.on_request(request, now)
         stamp, retry_budget = self.ledger.on_open(
-            stream.id, stream.job_class, stream.member, stream.size, stream.repeat, now, ask.budget
+            stream.id, stream.job_class, stream.member, stream.size, stream.repeat, now, request.budget
         )
-        self._asks[stream.id] = ask._replace(beyond=stamp.beyond, rank=stamp.rank, purse=retry_budget)
+        self._unoffered[stream.id] = request._replace(beyond=stamp.beyond, rank=stamp.rank, purse=retry_budget)
         return []
 
     def _offer(self, ledger: Ledger, now: float) -> None:
         """Pass the streams that the ledger offers to the module, in order; set a timer while streams wait there."""
-        while due := ledger.due(now):
-            for offer in due:
-                ask, stream = self._asks.pop(offer.stream, None), self._streams.get(offer.stream)
-                if ask is not None and stream is not None and not stream.over:
-                    left = ask._replace(budget=stream.deadline - now, spare=min(ask.spare, offer.spare))
-                    self._carry_out(self.brain.on_request(left, now), now)
-        if ledger.waiting and not self._looking:
-            self._looking = True
-            heappush(self._timers, (now + ledger.step, LOOK))
-
-    def _withdrawn(self, stream: model.Stream, now: float) -> list[Action]:
+        while offers := ledger.due(now):
+            for offer in offers:
+                request, stream = self._unoffered.pop(offer.stream, None), self._streams.get(offer.stream)
+                if request is not None and stream is not None and not stream.over:
+                    renewed = request._replace(budget=stream.deadline - now, spare=min(request.spare, offer.spare))
+                    self._carry_out(self.brain.on_request(renewed, now), now)
+        if ledger.waiting and not self._ledger_timer_set:
+            self._ledger_timer_set = True
+            heappush(self._timers, (now + ledger.step, LEDGER_TIMER))
+
+    def _on_withdrawn(self, stream: model.Stream, now: float) -> list[Action]:
         if stream.over:
             return []  # the answer was given before the withdrawal arrived
         stream.withdrawn = True
@@ -244,42 +244,42 @@
         if self.ledger is not None:
             self.ledger.on_answered(stream.id, "withdrawn", now)
         actions = self.brain.on_withdrawn(stream.id, now)
-        self._call_off_unsent(stream)
-        self._forget(stream)
+        self._cancel_unsent(stream)
+        self._drop_if_ended(stream)
         return actions
 
-    def _call_off_unsent(self, stream: model.Stream) -> None:
+    def _cancel_unsent(self, stream: model.Stream) -> None:
         """Cancel attempts of a finished stream that are not written yet, for instance while they connect."""
-        for request in self._out.get(stream.id, ()):
+        for request in self._attempts.get(stream.id, ()):
             if not request.sent:
                 request.cancelled = True
                 request.scope.cancel()
 
-    def _ended(self, event: model.UpstreamEnded, now: float) -> list[Action]:
+    def _on_attempt_ended(self, event: model.UpstreamEnded, now: float) -> list[Action]:
         request, outcome = event.request, event.outcome
         stream = request.stream
-        self._left[stream.id] -= 1
+        self._attempts_in_flight[stream.id] -= 1
         self.event_counts[outcome.status.value] += 1
         self.host_log.on_attempt_ended(request.host.id, outcome.status)
         if self.on_attempt is not None:
             self.on_attempt(request, outcome.status, event.took)
         if self.ledger is not None:
-            self.ledger.on_attempt_ended(stream.id, self._worked(event, now), now)
+            self.ledger.on_attempt_ended(stream.id, self._slot_seconds(event, now), now)
         withdrawn: list[Action] = []
         if outcome.status is Status.OK and not stream.over and outcome.result is not None:
             self._finish(stream, model.Served(outcome.result))
         elif not stream.over and not stream.wanted:
             # The downstream has gone and its withdrawal may still be in the inbox: no further attempt may start.
-            withdrawn = self._withdrawn(stream, now)
-        told = Outcome(
+            withdrawn = self._on_withdrawn(stream, now)
+        outcome_report = Outcome(
             stream.id, request.number, request.host.id, outcome.status, event.took, stream.over, outcome.report
         )
-        actions = self.brain.on_outcome(told, now)
-        self._forget(stream)
+        actions = self.brain.on_outcome(outcome_report, now)
+        self._drop_if_ended(stream)
         return withdrawn + actions
 
     @staticmethod
-    def _worked(event: model.UpstreamEnded, now: float) -> float:
+    def _slot_seconds(event: model.UpstreamEnded, now: float) -> float:
         """Return the seconds for which an attempt occupied a slot, as far as known; 0 if it never ran."""
         if event.outcome.status in NEVER_RAN or not event.request.sent:
             return 0.0
@@ -291,12 +291,12 @@
             return []
         self.exchange.on_demand(self.ledger.demands(now))
         # A host that connects to us serves only this instance; peers need to know only about hosts that we connect to.
-        out = {
+        in_flight = {
             host.id: self.brain.workers[host.id].out
             for host in self.hosts.values()
             if isinstance(host.address, tuple) and host.id in self.brain.workers
         }
-        self.exchange.on_attempts_in_flight(out)
+        self.exchange.on_attempts_in_flight(in_flight)
         return self.exchange.due(now)
 
     def _on_peer_datagram(self, data: bytes, now: float) -> list[Action]:
@@ -309,36 +309,36 @@
                     actions += self.brain.on_report(name, report, now)
         return actions
 
-    def _update_hosts(self, event: model.HostListReceived, now: float) -> list[Action]:
-        named = {line.entry.worker for line in event.lines}
-        before = {host.id: (host.entry.state.value, host.entry.started_at) for host in self.hosts.values()}
+    def _on_host_list(self, event: model.HostListReceived, now: float) -> list[Action]:
+        listed_ids = {line.entry.worker for line in event.lines}
+        previous = {host.id: (host.entry.state.value, host.entry.started_at) for host in self.hosts.values()}
         self.version = event.version if event.version is not None else self.version
         if event.kind is not ListKind.CHANGES:
             for host in self.hosts.values():
-                if host.id not in named:  # a full list removes the hosts that it does not name
+                if host.id not in listed_ids:  # a full list removes the hosts that it does not name
                     host.entry = host.entry._replace(state=State.GONE)
         for line in event.lines:
-            known = self.hosts.get(line.entry.worker)
-            if known is None:
+            listed_host = self.hosts.get(line.entry.worker)
+            if listed_host is None:
                 self.hosts[line.entry.worker] = model.UpstreamHost(
                     line.entry.worker, line.address, line.entry, banned=line.entry.worker in self.brain.banned
                 )
                 continue
-            if known.address != line.address or known.entry.started_at != line.entry.started_at:
-                self._close_idle(known)  # connections to the previous process or address are stale
-                known.generation += 1
-                known.address = line.address
-            known.entry = line.entry
+            if listed_host.address != line.address or listed_host.entry.started_at != line.entry.started_at:
+                self._close_idle(listed_host)  # connections to the previous process or address are stale
+                listed_host.generation += 1
+                listed_host.address = line.address
+            listed_host.entry = line.entry
         for host in self.hosts.values():
             if not host.ready:
                 self._close_idle(host)
         states = {host.id: (host.entry.state, host.generation) for host in self.hosts.values()}
-        if states != self._states:  # changes of weight alone are not logged: they come every second
+        if states != self._logged_states:  # changes of weight alone are not logged: they come every second
             ready = sum(host.ready for host in self.hosts.values())
             log.info("hosts told: %s list, %d hosts, %d ready", event.kind.value, len(states), ready)
-        self._states = states
+        self._logged_states = states
         self.host_log.log_finished_first_windows(now)
-        self.host_log.on_hosts(before, self.hosts.values(), now)
+        self.host_log.on_hosts(previous, self.hosts.values(), now)
         entries = tuple(line.entry for line in event.lines)
         self.notebook.list_names(entries, event.kind is not ListKind.CHANGES)
         actions = self.brain.on_list(event.kind, entries, now)
@@ -364,11 +364,11 @@
                     for data in self.notebook.write(action.notes):
                         self.send_notes(data, action.to)
             elif isinstance(action, Log):
-                log.info("module: %s", self._named(action.text))
+                log.info("module: %s", self._with_host_names(action.text))
             else:  # Watch needs nothing: discovery watches on its own
                 invariant(isinstance(action, Watch), "every action has a handler")
 
-    def _named(self, text: str) -> str:
+    def _with_host_names(self, text: str) -> str:
         """Replace host ids in hexadecimal by the names in the list, for readers of the log."""
         for host in self.hosts.values():
             text = text.replace(host.id.hex(), host.id.decode(errors="replace"))
@@ -384,19 +384,19 @@
         deadline = stream.deadline - ANSWER_LEAD
         if action.timeout:
             deadline = min(deadline, now + action.timeout)
-        request = model.UpstreamRequest(stream, len(self._out[stream.id]), host, deadline)
-        self._out[stream.id].append(request)
+        request = model.UpstreamRequest(stream, len(self._attempts[stream.id]), host, deadline)
+        self._attempts[stream.id].append(request)
         self.host_log.on_attempt_started(host.id, now)
-        self._left[stream.id] += 1
+        self._attempts_in_flight[stream.id] += 1
         if self.ledger is not None:
             self.ledger.on_sent(stream.id, now)
-        self._attempts.start_soon(self._attempt, request)
+        self._attempt_nursery.start_soon(self._attempt, request)
 
     async def _attempt(self, request: model.UpstreamRequest) -> None:
-        begun = trio.current_time()
+        started_at = trio.current_time()
         # Past its deadline, or its host was dropped: nothing is sent, and the outcome says nothing about the host.
-        late = request.deadline <= begun or request.host.address is None
-        outcome = model.UpstreamOutcome(Status.MOOT) if late else None
+        unsendable = request.deadline <= started_at or request.host.address is None
+        outcome = model.UpstreamOutcome(Status.MOOT) if unsendable else None
         with request.scope:
             request.scope.deadline = request.deadline
             try:
@@ -409,7 +409,7 @@
             outcome = model.UpstreamOutcome(Status.CANCELLED)
         elif outcome is None:
             outcome = model.UpstreamOutcome(Status.TIMEOUT if request.sent else Status.CONNECT_FAILED)
-        await self.inbox.send(model.UpstreamEnded(request, outcome, trio.current_time() - begun))
+        await self.inbox.send(model.UpstreamEnded(request, outcome, trio.current_time() - started_at))
 
     def _carrier(self, host: model.UpstreamHost) -> model.UpstreamFront:
         return self.carriers[type(host.address)]
@@ -419,33 +419,33 @@
             self._carrier(host).close_idle(host)
 
     def _cancel(self, action: Cancel) -> None:
-        for request in self._out.get(action.id, [])[action.attempt : action.attempt + 1]:
+        for request in self._attempts.get(action.id, [])[action.attempt : action.attempt + 1]:
             request.cancelled = True
             request.scope.cancel()
 
-    def _answer(self, number: int, answer: model.FinalAnswer) -> None:
-        stream = self._streams.get(number)
+    def _answer(self, stream_id: int, answer: model.FinalAnswer) -> None:
+        stream = self._streams.get(stream_id)
         if stream is not None and not stream.over:
             self._finish(stream, answer)
-            self._forget(stream)
+            self._drop_if_ended(stream)
 
     def _finish(self, stream: model.Stream, answer: model.FinalAnswer) -> None:
         if invariant(not stream.over, "a stream has one final answer"):
             stream.answer = answer
             stream.answered.set()
             self.event_counts[type(answer).__name__] += 1
-            counted = COUNTED[type(answer)]
-            setattr(stream.counts, counted, getattr(stream.counts, counted) + 1)
+            field_name = FIGURES_FIELDS[type(answer)]
+            setattr(stream.counts, field_name, getattr(stream.counts, field_name) + 1)
             self.process_figures.outstanding -= 1
-            self._call_off_unsent(stream)
+            self._cancel_unsent(stream)
             if self.ledger is not None:
-                self.ledger.on_answered(stream.id, ANSWERS[type(answer)], trio.current_time())
+                self.ledger.on_answered(stream.id, LEDGER_OUTCOMES[type(answer)], trio.current_time())
 
-    def _forget(self, stream: model.Stream) -> None:
+    def _drop_if_ended(self, stream: model.Stream) -> None:
         """Drop the records of a finished stream whose attempts have all ended."""
-        if stream.over and not self._left[stream.id]:
-            for records in (self._streams, self._out, self._left):
+        if stream.over and not self._attempts_in_flight[stream.id]:
+            for records in (self._streams, self._attempts, self._attempts_in_flight):
                 records.pop(stream.id, None)
             if self.ledger is not None:
                 self.ledger.on_forgotten(stream.id)
-                self._asks.pop(stream.id, None)
+                self._unoffered.pop(stream.id, None)
--- a/thistleshore/core/model.py
+++ b/thistleshore/core/model.py
@@ -151,7 +151,7 @@
     """An operator takes a host out, or calls it back."""
 
     host: bytes
-    out: bool
+    banned: bool
     known: bool = False  # whether anybody has that name, once `done` is set; or told by one who knows it
     done: trio.Event = field(default_factory=trio.Event)
 
