--- a/thistleshore/core/__init__.py
+++ b/thistleshore/core/__init__.py
@@ -1,1 +1,1 @@
-"""Streams, upstream requests and final answers; nothing here knows a wire."""
+"""Streams, upstream requests and final answers, independent of any wire protocol."""
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -147,7 +147,7 @@
         figures.update({f"refused_{reason.value}": n for reason, n in self.brain.refusals.items()})
         log.info("figures: open=%d %s", len(self._streams), " ".join(f"{k}={n}" for k, n in figures.items()))
         if failing := self.host_log.take_failure_summary():
-            log.info("attempts at hosts that failed some: %s", failing)
+            log.info("hosts with failed attempts: %s", failing)
 
     def _fail_stream_of(self, event: model.Event | None) -> None:
         """Fail the stream whose event raised: no later event may name it, and its downstream would wait forever."""
@@ -335,7 +335,7 @@
         states = {host.id: (host.entry.state, host.generation) for host in self.hosts.values()}
         if states != self._logged_states:  # changes of weight alone are not logged: they come every second
             ready = sum(host.ready for host in self.hosts.values())
-            log.info("hosts told: %s list, %d hosts, %d ready", event.kind.value, len(states), ready)
+            log.info("host list received: %s list, %d hosts, %d ready", event.kind.value, len(states), ready)
         self._logged_states = states
         self.host_log.log_finished_first_windows(now)
         self.host_log.on_hosts(previous, self.hosts.values(), now)
--- a/thistleshore/core/figures.py
+++ b/thistleshore/core/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one process, counted where each fact arises; a call walks over the classes, never over streams."""
+"""Counters of one process, updated as events happen; reading them costs time by class, not by stream."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 @dataclass(slots=True)
 class ClassFigures:
-    """What became of a class's streams since the process began."""
+    """Outcomes of the streams of one class since the process started."""
 
     succeeded: int = 0
     declined: int = 0  # refused
     aborted: int = 0  # failed
-    forwards: int = 0  # upstream requests written whole
+    forwards: int = 0  # upstream requests written completely
 
 
 @dataclass(slots=True)
 class ProcessFigures:
-    """One record for the admin interface and the page of metrics."""
+    """Counters for the admin interface and the metrics page."""
 
-    results: dict[str, ClassFigures] = field(default_factory=dict)  # by class; one that is dropped keeps what it has
-    outstanding: int = 0  # streams taken and not yet ended
+    results: dict[str, ClassFigures] = field(default_factory=dict)  # by class; classes removed from the settings stay
+    outstanding: int = 0  # accepted streams that have not ended
     sighup_applied: int = 0
     sighup_rejected: int = 0
 
     def of(self, name: str) -> ClassFigures:
-        """The figures of a class, begun where there are none yet."""
+        """Return the counters of a class, created on first use."""
         return self.results.setdefault(name, ClassFigures())
 
     def snapshot(self, discovered: int, ejected: int) -> dict[str, Any]:
-        """As the admin interface tells them; what is known of hosts is the broker's to say."""
+        """Return the counters under the keys of the admin interface; the caller supplies the counts of hosts."""
         return {
             "results": {name: asdict(counts) for name, counts in self.results.items()},
             "forwards": sum(counts.forwards for counts in self.results.values()),
--- a/thistleshore/core/model.py
+++ b/thistleshore/core/model.py
@@ -1,4 +1,4 @@
-"""The records that the fronts and the broker share.  No wire is known here."""
+"""Records and events that the fronts and the broker share, independent of any wire protocol."""
 
 from __future__ import annotations
 
@@ -13,16 +13,20 @@
 
 
 class Served(NamedTuple):
-    result: bytes  # what an upstream host made for this stream
+    """A result from an upstream host."""
+
+    result: bytes
 
 
 class LocalReply(NamedTuple):
-    """A refusal: trying again is harmless."""
+    """A refusal: nothing ran, so the client may retry safely."""
 
     retry_after: float  # seconds; 0: no advice
 
 
 class Failed(NamedTuple):
+    """No result; the job may have run."""
+
     reason: str
 
 
@@ -35,50 +39,52 @@
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """One request of a downstream, from its last byte to its one final answer."""
+    """One downstream request, from the arrival of its last byte to its single final answer."""
 
-    name: str  # what the downstream calls it
+    name: str  # the downstream's name for it
     job_class: int
-    deadline: float  # trio's clock; the downstream waits until then
-    payload: object = None  # for the front that carries it, opaque to the core
+    deadline: float  # trio clock, seconds; the downstream waits no longer
+    payload: object = None  # used by the front that carries it, opaque to the core
     tenant: int = 0
     key: int = 0
     repeat: bool = False
-    member: str = ""  # whose it is, as the operator's rules tell
-    size: int = 0  # bytes of its body
-    spare: float = 1.0  # how far its front's means to be answered by go, 1 to 0
-    id: int = -1  # the broker's number for it
+    member: str = ""  # the member it belongs to, by the operator's rules
+    size: int = 0  # body size, bytes
+    spare: float = 1.0  # the part of its front's answering capacity that is free, 1 to 0
+    id: int = -1  # assigned by the broker
     answer: FinalAnswer | None = None
-    # Set once it is over: `answer` is there, or the downstream has withdrawn it.
+    # Set when the stream is over: it has an `answer`, or the downstream withdrew it.
     answered: trio.Event = field(default_factory=trio.Event)
     withdrawn: bool = False
-    left: bool = False  # its downstream has gone or taken it back, and the broker may not have heard so yet
-    gone: Callable[[], bool] = _never  # its front's look at that: what came a moment ago, nobody has read
-    counts: ClassFigures = field(default_factory=ClassFigures)  # its class's, once the broker has it
-    forwards: int = 0  # its own upstream requests that were written whole
+    left: bool = False  # the downstream disconnected or withdrew it; the broker may not know yet
+    gone: Callable[[], bool] = _never  # asks the front whether the connection has just closed, with nothing read yet
+    counts: ClassFigures = field(default_factory=ClassFigures)  # counters of its class, set by the broker
+    forwards: int = 0  # its upstream requests that were written completely
 
     @property
     def over(self) -> bool:
+        """Whether it is answered or withdrawn."""
         return self.withdrawn or self.answer is not None
 
     @property
     def wanted(self) -> bool:
-        """Is somebody there for its answer?  Asked in the step in which an upstream request would begin."""
+        """Whether a downstream still waits for its answer; checked in the step that would start an upstream request."""
         return not (self.over or self.left or self.gone())
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamHost:
-    """A ticket worker as the list has it; kept by the broker, read by the fronts."""
+    """A ticket worker as listed by discovery; owned by the broker, read by the fronts."""
 
     id: bytes
-    address: object  # how a front reaches it: an address, or a name
+    address: object  # how a front reaches it: a socket address or a name; None: unknown
     entry: Entry
-    generation: int = 0  # counts its restarts and moves: connections of an earlier life are stale
-    banned: bool = False  # taken out by hand, as the module has it
+    generation: int = 0  # incremented at each restart or move; connections of earlier generations are stale
+    banned: bool = False  # banned by an operator, as in the decision module
 
     @property
     def ready(self) -> bool:
+        """Whether it is listed as ready and not banned."""
         return self.entry.state is State.READY and not self.banned
 
 
@@ -97,50 +103,62 @@
     number: int
     host: UpstreamHost
     deadline: float
-    started: float = 0.0  # when it began to run, as far as its host tells; 0: not known
+    started: float = 0.0  # when it began to run, if its host reports that; 0: unknown
     sent: bool = False  # set by the front once the last byte of the request is written
     cancelled: bool = False
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def mark_written(self) -> None:
-        """The front has written its last byte: from now on it may run."""
+        """Record that the last byte is written: from now on the job may run."""
         self.sent = True
         self.stream.counts.forwards += 1
         self.stream.forwards += 1
 
 
 class UpstreamOutcome(NamedTuple):
+    """How an attempt ended, with the host's report where it sent one."""
+
     status: Status
     result: bytes | None = None
     report: Report | None = None
 
 
 class StreamOpened(NamedTuple):
+    """A downstream request has arrived."""
+
     stream: Stream
 
 
 class StreamWithdrawn(NamedTuple):
+    """The downstream disconnected or withdrew its request."""
+
     stream: Stream
 
 
 class UpstreamStarted(NamedTuple):
+    """A host reports that an attempt has begun to run."""
+
     request: UpstreamRequest
 
 
 class UpstreamEnded(NamedTuple):
+    """An attempt has ended after `took` seconds."""
+
     request: UpstreamRequest
     outcome: UpstreamOutcome
     took: float
 
 
 class HostListReceived(NamedTuple):
+    """A list of upstream hosts, or changes to it."""
+
     kind: ListKind
     lines: tuple[HostLine, ...]
-    version: int | None = None  # of discovery's list, where it has one
+    version: int | None = None  # of the discovery list, if it has one
 
 
 class HostReported(NamedTuple):
-    """A host tells of its room outside any upstream request."""
+    """A host reports its free capacity outside any upstream request."""
 
     host: bytes
     report: Report
@@ -148,34 +166,34 @@
 
 @dataclass(slots=True, eq=False)
 class BanRequested:
-    """An operator takes a host out, or calls it back."""
+    """An operator bans a host or readmits it."""
 
     host: bytes
     banned: bool
-    known: bool = False  # whether anybody has that name, once `done` is set; or told by one who knows it
+    known: bool = False  # whether the host is known, valid once `done` is set; a sender that knows it sets this
     done: trio.Event = field(default_factory=trio.Event)
 
 
 class SettingsChanged(NamedTuple):
-    """New settings, and what their classes are called."""
+    """New settings, and the names of their classes."""
 
     settings: Settings
     names: tuple[str, ...]
 
 
 class UrgentEventPosted(NamedTuple):
-    """Wakes the broker: something was posted."""
+    """Wakes the broker to read an event from `Broker.post`."""
 
 
 class NotesReceived(NamedTuple):
-    """A datagram of notes, of another dispatcher of the tier."""
+    """A datagram of notes from another dispatcher of the tier."""
 
     peer: int
     data: bytes
 
 
 class PeerDatagramReceived(NamedTuple):
-    """A datagram of another instance."""
+    """A datagram of the lease exchange from another instance."""
 
     data: bytes
 
@@ -196,10 +214,12 @@
 
 
 class UpstreamFront(Protocol):
-    """Carries upstream requests over one wire."""
+    """Carries upstream requests over one wire protocol."""
 
     async def carry(self, request: UpstreamRequest, started: trio.MemorySendChannel[Event]) -> UpstreamOutcome:
-        """Run one upstream request to its end; cancelled when it is called off or out of time."""
+        """Run one upstream request to its end; cancelled when the broker cancels it or its deadline passes."""
         ...
 
-    def close_idle(self, host: UpstreamHost) -> None: ...
+    def close_idle(self, host: UpstreamHost) -> None:
+        """Close idle connections to a host."""
+        ...
