--- a/benchmarks/distribution/baselines.py
+++ b/benchmarks/distribution/baselines.py
@@ -22,7 +22,7 @@
 
 from benchmarks.distribution.fleet import Fleet
 from thistleshore.addresses import Address
-from thistleshore.distribution.model import NO_VERSION, Action, Apply, Peer, Send, Stamp, Terms
+from thistleshore.distribution.model import NO_VERSION, Action, Apply, Peer, Send, Stamp, ProtocolSettings
 
 ASK_EVERY = 1.0  # s
 PART_BYTES = 1100  # of a body in one datagram
@@ -115,7 +115,7 @@
         fleet: str,
         me: Peer,
         voters: frozenset[str],
-        terms: Terms,
+        terms: ProtocolSettings,
         now: float,
         seed: int = 0,
         held: tuple[Stamp, bytes] | None = None,
--- a/benchmarks/distribution/net.py
+++ b/benchmarks/distribution/net.py
@@ -21,12 +21,12 @@
     NO_VERSION,
     Action,
     Apply,
-    Noted,
+    LogEvent,
     Peer,
     Send,
     Spread,
     Stamp,
-    Terms,
+    ProtocolSettings,
     digest_of,
     region_of,
 )
@@ -99,7 +99,7 @@
         repeat: float = 0.0,
         reorder: float = 0.0,
         voters: int = 3,
-        terms: Terms | None = None,
+        terms: ProtocolSettings | None = None,
         kind: Callable[..., Distributor] = Distributor,
         death_seen: float = 8.0,
         join_seen: float = 1.0,
@@ -108,7 +108,7 @@
         """`recorded`: reports are read off the wire into the history."""
         self.random, self.now = random.Random(seed), 0.0
         self.loss, self.repeat, self.reorder = loss, repeat, reorder
-        self.terms, self.kind = terms or Terms(), kind
+        self.terms, self.kind = terms or ProtocolSettings(), kind
         self.death_seen, self.join_seen, self.recorded = death_seen, join_seen, recorded
         self.history = History()
         self.register: Stamp = NO_VERSION
@@ -206,11 +206,11 @@
         """Whether all living instances have this version, or a newer one, in force."""
         return all(node.in_force.number >= number for node in self.nodes.values() if node.alive)
 
-    def ask_spread(self, name: str) -> None:
+    def request_reports(self, name: str) -> None:
         """Have an instance ask for the reports of all zones."""
         node = self.nodes[name]
         assert node.machine is not None
-        self._carry(node, node.machine.ask_spread(self.now))
+        self._carry(node, node.machine.request_reports(self.now))
 
     def spread(self, name: str, number: int) -> Spread:
         """What an instance knows of a version; recorded where it says `everywhere`."""
@@ -329,7 +329,7 @@
                 self._send(node, action)
             elif isinstance(action, Apply):
                 self._apply(node, action)
-            elif isinstance(action, Noted):
+            elif isinstance(action, LogEvent):
                 node.noted[action.what] += 1
         self._arm(node)
 
--- a/benchmarks/distribution/real.py
+++ b/benchmarks/distribution/real.py
@@ -36,7 +36,7 @@
 from benchmarks.distribution.results import keep
 from benchmarks.fleet.real import beside
 from benchmarks.fleet.virtual import spread
-from thistleshore.distribution.model import Terms
+from thistleshore.distribution.model import ProtocolSettings
 from thistleshore.fleet.model import Terms as FleetTerms
 from thistleshore.releases.faults import CONFIGURATION_POINTS
 from thistleshore.rig import checks
@@ -318,8 +318,10 @@
     """Have each process report as often as it does where its file names no times; before any starts."""
     for process in rig.processes.values():
         text = process.file.read_text()
-        text = re.sub(r"^sync = .*$", f"sync = {Terms().sync}", text, flags=re.MULTILINE)
-        process.file.write_text(re.sub(r"^fresh = .*$", f"fresh = {Terms().fresh}", text, flags=re.MULTILINE))
+        text = re.sub(r"^sync = .*$", f"sync = {ProtocolSettings().sync}", text, flags=re.MULTILINE)
+        process.file.write_text(
+            re.sub(r"^fresh = .*$", f"fresh = {ProtocolSettings().fresh}", text, flags=re.MULTILINE)
+        )
 
 
 class Latency:
--- a/tests/test_configuration_agreement.py
+++ b/tests/test_configuration_agreement.py
@@ -19,7 +19,7 @@
 from tests.support import steady
 from tests.tier import NAMES, Tier, on_tier
 from thistleshore.configuration import agreement, store
-from thistleshore.distribution.model import BODY_MOST, NO_VERSION, Stamp, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, NO_VERSION, Stamp, digest_of
 from thistleshore.releases import messages, places
 from thistleshore.releases.calls import ReleaseCalls
 from thistleshore.releases.carrier import NoMajority, Releases
@@ -78,8 +78,8 @@
     value = taken(agreement.push(value, None, digest_of(TWO), len(TWO), "p1", "theirs", 5.0))
     for against in (None, 0):
         assert agreement.push(value, against, mine, len(ONE), "p0", "mine", 5.0) is value
-    entry = agreement.made(value, mine, "p0", 5.0)
-    assert entry is not None and entry.number == 1 and agreement.made(value, mine, "p1", 5.0) is None
+    entry = agreement.find_existing_change(value, mine, "p0", 5.0)
+    assert entry is not None and entry.number == 1 and agreement.find_existing_change(value, mine, "p1", 5.0) is None
     again = taken(agreement.push(value, None, mine, len(ONE), "p0", "mine", 6.0))  # another change, of the same body
     assert again.configuration.number == 3
     back = taken(agreement.rollback(again, 2, None, "p0", "back", 7.0))
@@ -287,17 +287,17 @@
 def test_a_deposit_that_is_not_what_it_says_is_not_kept(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
-        voter, large = tier.voters["a"], b"#" * (BODY_MOST + 1)
+        voter, large = tier.voters["a"], b"#" * (MAX_BODY_BYTES + 1)
         for digest, body, why in (
             (digest_of(ONE), TWO, "the body is not that of its digest"),
-            (digest_of(large), large, f"the body has over {BODY_MOST} bytes"),
+            (digest_of(large), large, f"the body has over {MAX_BODY_BYTES} bytes"),
             ("../../escaped", ONE, "the body is not that of its digest"),
         ):
             assert voter.answer(Deposit(digest, body), 0.0) == Unable(why)
         assert voter.answer(FetchBody(f"../{FILE}"), 0.0) == Unable("it does not hold that body")
-        with pytest.raises(NoMajority, match=f"a: the body has over {BODY_MOST} bytes"):
+        with pytest.raises(NoMajority, match=f"a: the body has over {MAX_BODY_BYTES} bytes"):
             await this.deposit(large)
-        assert await this.deposit(b"#" * BODY_MOST) == 3
+        assert await this.deposit(b"#" * MAX_BODY_BYTES) == 3
 
     on_tier(scenario, tmp_path)
 
@@ -321,14 +321,14 @@
         this = await tier.begin()
         await push_at(this, ONE, 0)
         await push_at(this, TWO, 1)
-        drafts = [b"# draft %d" % number for number in range(store.OTHERS_KEPT + 5)]
+        drafts = [b"# draft %d" % number for number in range(store.MAX_UNREFERENCED_BODIES + 5)]
         for draft in drafts:
             await this.deposit(draft)
             await trio.sleep(0.02)
         assert tier.holders(ONE) == tier.holders(TWO) == tier.holders(drafts[-1]) == set(NAMES)
         assert tier.holders(drafts[0]) == set()
         # Beside those of the history and the one that has just come.
-        assert len(list((tmp_path / "a" / store.BODY_FOLDER).iterdir())) == 2 + 1 + store.OTHERS_KEPT
+        assert len(list((tmp_path / "a" / store.BODY_FOLDER).iterdir())) == 2 + 1 + store.MAX_UNREFERENCED_BODIES
 
     on_tier(scenario, tmp_path)
 
@@ -389,7 +389,7 @@
         assert messages.questions.decode(msgspec.msgpack.encode(question)) == question
     for answer in (Deposited(digest_of(ONE)), Body(digest_of(ONE), ONE), Unable("why")):
         assert messages.answers.decode(msgspec.msgpack.encode(answer)) == answer
-    largest = msgspec.msgpack.encode(Body(digest_of(ONE), b"#" * BODY_MOST))
+    largest = msgspec.msgpack.encode(Body(digest_of(ONE), b"#" * MAX_BODY_BYTES))
     assert len(largest) < messages.MAX_FRAME_BYTES
     assert messages.questions.decode(msgspec.msgpack.encode(Prepare(7, (2, "x")))) == Prepare(7, (2, "x"))
     begun = Install(VoterState(7, "a", (1, ""), (1, ""), taken(push(VALUE, ONE)), 1), False)
--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -18,10 +18,19 @@
 from thistleshore import config
 from thistleshore.admin import codec
 from thistleshore.core.model import HostLine
-from thistleshore.configuration.applying import Applier, Held, NotApplied, NotDurable
+from thistleshore.configuration.applying import Applier, StoredVersion, NotApplied, NotDurable
 from thistleshore.configuration.carrier import Distribution
 from thistleshore.distribution.machine import Distributor
-from thistleshore.distribution.model import BODY_MOST, FORMAT, REASON_MOST, Apply, Peer, Stamp, Terms, digest_of
+from thistleshore.distribution.model import (
+    MAX_BODY_BYTES,
+    FORMAT,
+    MAX_REASON_CHARS,
+    Apply,
+    Peer,
+    Stamp,
+    ProtocolSettings,
+    digest_of,
+)
 from thistleshore.configuration.store import VERSION_FILE, VersionStore
 from thistleshore.configuration.uploads import EXPIRES, PIECES_MOST, UPLOADS_MOST, UploadError, Uploads, decompressed
 from thistleshore.fleet.carrier import Carrier
@@ -120,7 +129,7 @@
     seen = []
     process.applier.force = lambda plan, hosts: seen.append(process.store.read())
     process.apply(3, rule("new"))
-    assert seen == [version(3, rule("new"))] and process.applier.in_force == Held(*version(3, rule("new")))
+    assert seen == [version(3, rule("new"))] and process.applier.in_force == StoredVersion(*version(3, rule("new")))
 
 
 @pytest.mark.parametrize(
@@ -139,7 +148,7 @@
     process.apply(1, rule("former"))
     with pytest.raises(NotApplied) as refused:
         process.apply(2, body, form)
-    assert problem in refused.value.reason and len(refused.value.reason) <= REASON_MOST
+    assert problem in refused.value.reason and len(refused.value.reason) <= MAX_REASON_CHARS
     assert process.rules == ["former"] and process.store.read() == version(1, rule("former"))
 
 
@@ -173,8 +182,8 @@
     assert process.applier.in_force is None and process.rules == []
     process.apply(5, rule("new") + HOSTS)
     again = Process(tmp_path)
-    assert again.rules == ["new"] and again.applier.in_force == Held(*version(5, rule("new") + HOSTS))
-    assert [line.entry.worker for line in again.plan.known] == [b"agreed-host"] and again.applier.hosts_told
+    assert again.rules == ["new"] and again.applier.in_force == StoredVersion(*version(5, rule("new") + HOSTS))
+    assert [line.entry.worker for line in again.plan.known] == [b"agreed-host"] and again.applier.hosts_from_version
     assert again.plan.told == plan_of().told  # what is compared with later readings of the file
     # Its own file does not go with it any more; another fleet's; torn.
     for own, fleet, spoil in (
@@ -187,19 +196,19 @@
             file.write_bytes(file.read_bytes()[:-1])
         applier = Applier(VersionStore(tmp_path, fleet), plan_of(own))
         assert applier.start().told == plan_of(own).told and applier.in_force is None
-        assert applier.problems_at_start == 1
+        assert applier.startup_problems == 1
 
 
 def test_a_file_read_again_has_the_version_in_force_laid_over_it(tmp_path: Path) -> None:
     process = Process(tmp_path)
     process.apply(1, rule("agreed"))
     calls: list[None] = []
-    process.applier.on_reread = lambda: calls.append(None)
+    process.applier.on_file_reloaded = lambda: calls.append(None)
     read = plan_of(OWN + rule("file"))
-    found = play(process.applier.reread, read)
+    found = play(process.applier.reload_file, read)
     assert found is not None and rules_of(found) == ["agreed"] and found.told == read.told
     # One that does not go with the version is not taken, and the former one counts on.
-    assert play(process.applier.reread, plan_of(OWN.replace("seat-search", "seat-finder"))) is None
+    assert play(process.applier.reload_file, plan_of(OWN.replace("seat-search", "seat-finder"))) is None
     process.apply(2, HOSTS)
     assert process.rules == ["file"] and len(calls) == 1
 
@@ -248,7 +257,7 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "a", "é", packed(b"x")[:-6], packed(bytes(BODY_MOST + 1)), packed(bytes(1 << 27))]
+    "text", ["", "a", "é", packed(b"x")[:-6], packed(bytes(MAX_BODY_BYTES + 1)), packed(bytes(1 << 27))]
 )
 def test_a_spoilt_or_too_large_upload_is_refused(text: str) -> None:
     with pytest.raises(UploadError):
@@ -288,7 +297,7 @@
         plan=SimpleNamespace(voters={}), register=REGISTER, on_agreed=None, voter=None, known=None
     )
     fleet: Any = FakeFleet()
-    return Distribution(Terms(), fleet, releases, process.applier)
+    return Distribution(ProtocolSettings(), fleet, releases, process.applier)
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -379,7 +388,7 @@
     play(full_disk, tmp_path)
 
 
-async def reread(tmp_path: Path) -> None:
+async def reload_file(tmp_path: Path) -> None:
     process = Process(tmp_path)
     distribution = distribution_of(process)
     body = '[[member]]\nname = "house"\nshare = 0.4\n' + rule("one").replace("seat-search", "seat-finder")
@@ -389,14 +398,14 @@
         await until(lambda: distribution.machine.counts["refused"] == 1)
         assert distribution.machine.applied.number == 0
         own = replace(plan_of(OWN.replace("seat-search", "seat-finder")), seed=process.plan.seed)
-        assert await process.applier.reread(own) is not None
+        assert await process.applier.reload_file(own) is not None
         await until(lambda: distribution.machine.applied.number == 1)
         assert process.rules == ["one"]
         nursery.cancel_scope.cancel()
 
 
 def test_a_version_that_was_refused_is_tried_again_with_a_file_read_again(tmp_path: Path) -> None:
-    play(reread, tmp_path)
+    play(reload_file, tmp_path)
 
 
 async def datagrams(networks: tuple[str, ...]) -> tuple[list[bytes], dict[str, int]]:
@@ -427,7 +436,7 @@
 def test_metrics_tell_the_versions_and_what_the_machine_counts() -> None:
     held = version(4, rule("one"))
     me = Peer("me", ("127.0.0.1", 1), "a", 1, True)
-    machine = Distributor("fleet", me, frozenset(), Terms(), 0.0, held=held)
+    machine = Distributor("fleet", me, frozenset(), ProtocolSettings(), 0.0, held=held)
     machine.counts["offers"] += 3
     samples = {
         (sample.name, *sample.labels.values()): sample.value
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -18,7 +18,7 @@
 from thistleshore.config.platform import MOVES
 from thistleshore.configuration import document, store
 from thistleshore.configuration.document import DocumentError, overlay, parse, plan_of
-from thistleshore.distribution.model import BODY_MOST, FORMAT, Stamp, Terms, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT, Stamp, ProtocolSettings, digest_of
 
 EXAMPLE = ROOT / "deploy" / "releases.toml"
 HOST = b'[[host]]\nname = "w"\nservice = "ticketing"\naddress = "127.0.0.1:9009"\n'
@@ -73,8 +73,8 @@
 def test_text_that_is_no_document_is_refused() -> None:
     assert "can't decode" in problems(b"\xff\xfe")[0]
     assert "expected" in problems(b"[[host]")[0].lower()
-    assert problems(b"#" * (BODY_MOST + 1)) == (f"configuration: it has over {BODY_MOST} bytes",)
-    assert parse(b"#" * BODY_MOST).tables == {}
+    assert problems(b"#" * (MAX_BODY_BYTES + 1)) == (f"configuration: it has over {MAX_BODY_BYTES} bytes",)
+    assert parse(b"#" * MAX_BODY_BYTES).tables == {}
     assert "format 2" in problems(b"", body_format=FORMAT + 1)[0]
     whole = HOST + MATCH + MEMBER
     for cut in (whole[:-4], whole[: len(HOST) - 12], whole[:5]):  # cut off
@@ -157,7 +157,7 @@
     folder = tmp_path / "new" / "configuration"
     kept = store.VersionStore(folder, "kigali")
     assert kept.read() is None
-    for number, body in enumerate((HOST, MATCH, b"", b"#" * BODY_MOST), 1):
+    for number, body in enumerate((HOST, MATCH, b"", b"#" * MAX_BODY_BYTES), 1):
         kept.write(stamp_of(body, number), body)
         assert store.VersionStore(folder, "kigali").read() == (stamp_of(body, number), body)
     assert [path.name for path in folder.iterdir()] == [store.VERSION_FILE]
@@ -173,9 +173,9 @@
             with pytest.raises(store.StoreError):
                 kept.read()
     for spoilt, kind in (
-        (b"", store.Torn),
-        (b"x" * (store.FILE_MOST + 5), store.Torn),
-        (whole[:-1], store.Torn),
+        (b"", store.CorruptFile),
+        (b"x" * (store.FILE_MOST + 5), store.CorruptFile),
+        (whole[:-1], store.CorruptFile),
         (whole.replace(b"configuration 1 ", b"configuration 2 ", 1), store.NewerFormat),
         (whole.replace(b"configuration 1 ", b"configuration 99999999999999999999 ", 1), store.NewerFormat),
     ):
@@ -187,7 +187,7 @@
         store.VersionStore(tmp_path, "musanze").read()
     for stamp, kind in (
         (msgspec.structs.replace(stamp_of(HOST), format=FORMAT + 1), store.NewerFormat),
-        (stamp_of(MATCH), store.Torn),
+        (stamp_of(MATCH), store.CorruptFile),
     ):
         kept.write(stamp, HOST)
         with pytest.raises(kind):
@@ -256,7 +256,7 @@
 
 def test_the_supplied_file_follows_the_configuration_and_its_faults_are_named(tmp_path: Path) -> None:
     plan = config.operator_file(str(EXAMPLE), 0.0).distribution
-    assert plan is not None and plan.folder == "configuration" and plan.terms == Terms(sync=3.0, fresh=7.5)
+    assert plan is not None and plan.folder == "configuration" and plan.terms == ProtocolSettings(sync=3.0, fresh=7.5)
     assert config.operator_file(str(ROOT / "deploy" / "fleet.toml"), 0.0).distribution is None
     text = EXAMPLE.read_text()
     for old, new, fault in (
@@ -271,7 +271,7 @@
     bare = tmp_path / "bare.toml"
     bare.write_text(text.replace("sync = 3.0", "").replace("fresh = 7.5", ""))
     found = config.operator_file(str(bare), 0.0).distribution
-    assert found is not None and found.terms == Terms()
+    assert found is not None and found.terms == ProtocolSettings()
 
 
 def test_members_on_one_machine_have_folders_of_their_own(tmp_path: Path) -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -20,23 +20,23 @@
 from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import (
-    BODY_MOST,
+    MAX_BODY_BYTES,
     NO_VERSION,
     RELAYS,
     Action,
     Apply,
     Peer,
-    Row,
+    MemberReport,
     Send,
     Stamp,
-    Terms,
+    ProtocolSettings,
     digest_of,
     region_of,
 )
 from thistleshore.distribution.transfer import Fetching, Source, Taken
 from thistleshore.distribution.tree import Tree
 
-TERMS = Terms()
+TERMS = ProtocolSettings()
 SPREAD_MOST = 18.0  # s from agreed to in force everywhere, whatever single fault there is
 VOTERS = frozenset({"a"})
 ME = Peer("b", ("127.0.0.1", 2), "r/z", 1, True)
@@ -61,7 +61,7 @@
 
 def tell(to: Distributor, message: wire.Message, now: float = 0.0) -> list[wire.Message | Action]:
     """Have the other member say something; the answers, read."""
-    found = to.on_datagram(wire.write(FLEET, OTHER.name, OTHER.life, message), OTHER.address, now)
+    found = to.on_datagram(wire.write(FLEET, OTHER.name, OTHER.generation, message), OTHER.address, now)
     return [wire.read(action.data, FLEET, 1200).message if isinstance(action, Send) else action for action in found]
 
 
@@ -74,7 +74,7 @@
     assert wire.read(data, FLEET, 1200) == wire.Envelope(FLEET, "a", 4, wire.Report(1, REGISTER, 2, 3, "why", stamp))
 
     def kind_of(changed: bytes, fleet: str = FLEET) -> str:
-        with pytest.raises(wire.Spoilt) as raised:
+        with pytest.raises(wire.InvalidDatagram) as raised:
             wire.read(changed, fleet, 1200)
         return str(raised.value)
 
@@ -99,7 +99,7 @@
 
 def test_a_changed_line_is_a_small_datagram_of_a_great_body() -> None:
     base, body = body_of(1, 9000), body_of(2, 9000)
-    assert 200_000 < len(body) <= BODY_MOST and len(encode(body, base)) < 200
+    assert 200_000 < len(body) <= MAX_BODY_BYTES and len(encode(body, base)) < 200
 
 
 def test_a_body_that_does_not_fit_its_version_is_refused_before_it_is_unpacked() -> None:
@@ -204,14 +204,14 @@
         (stamp_of(4, body_of(4)), ""),
         (stamp_of(9, body_of(9), register=8), "other_register"),
         (stamp_of(5, body_of(6)), "conflict"),
-        (stamp_of(6, b"", size=BODY_MOST + 1), "too_large"),
+        (stamp_of(6, b"", size=MAX_BODY_BYTES + 1), "too_large"),
     ):
         found = tell(one, wire.Offer(stamp))
         assert found[0] == wire.Acknowledge(stamp.number)
         assert not [message for message in found if isinstance(message, wire.Fetch | Apply)]
         assert not kind or one.counts[kind] == 1
         assert one.known == one.applied == held[0]
-    one.on_agreed(stamp_of(6, b"", size=BODY_MOST + 1), None, 0.0)
+    one.on_agreed(stamp_of(6, b"", size=MAX_BODY_BYTES + 1), None, 0.0)
     assert one.spread(6, 0.0).zones[0].behind[0].reason.startswith("a body of")
 
 
@@ -232,7 +232,7 @@
             "too many": wire.Part(fetch.transfer, 0, 1 << 30, 4000, 0, data[:100]),
             "too long": wire.Part(fetch.transfer, 0, 99, 2, 0, data[:100]),
             "another encoding": wire.Part(fetch.transfer, 9, len(data), 1, 0, data),
-            "lacking": wire.Lacking(fetch.transfer),
+            "lacking": wire.BodyUnavailable(fetch.transfer),
         }
         one.terms = one.terms._replace(datagram=60_000)
         found = one.on_datagram(wire.write(FLEET, "a", 1, wrong[kind]), OTHER.address, 0.8)
@@ -308,8 +308,11 @@
         first[1] != second[1] and second[0] - first[0] == pytest.approx(TERMS.answer) for first, second in rounds
     )
     gaps = {round(later[0][0] - earlier[1][0], 2) for earlier, later in zip(rounds, rounds[1:], strict=False)}
-    assert 1.5 < min(gaps) < 3.0 < 5.0 < max(gaps) < TERMS.wait_most + 2 * TERMS.answer
-    assert one.on_datagram(wire.write(FLEET, "b", 1, wire.Ask()), ME.address, 120.0) == [] and one.counts["own"] == 1
+    assert 1.5 < min(gaps) < 3.0 < 5.0 < max(gaps) < TERMS.max_wait + 2 * TERMS.answer
+    assert (
+        one.on_datagram(wire.write(FLEET, "b", 1, wire.ReportsRequest()), ME.address, 120.0) == []
+        and one.counts["own"] == 1
+    )
 
 
 def test_a_voter_that_is_no_relay_reports_to_the_relays_of_its_zone_too() -> None:
@@ -358,8 +361,8 @@
     asker.on_view([ME, *peers], 0.0)
     for n, peer in enumerate(peers):
         report = wire.Report(0, REGISTER, 5 - n % 2, 5 * (n % 5 == 0), "\u00e9" * 100 if n % 5 == 0 else "", NO_VERSION)
-        relay.on_datagram(wire.write(FLEET, peer.name, peer.life, report), peer.address, n / 1000)
-    told = relay.on_datagram(wire.write(FLEET, "a", 1, wire.Ask()), OTHER.address, 1.0)
+        relay.on_datagram(wire.write(FLEET, peer.name, peer.generation, report), peer.address, n / 1000)
+    told = relay.on_datagram(wire.write(FLEET, "a", 1, wire.ReportsRequest()), OTHER.address, 1.0)
     for action in told:
         assert isinstance(action, Send) and len(action.data) <= TERMS.datagram
         asker.on_datagram(action.data, ME.address, 1.0)
@@ -405,7 +408,7 @@
     assert other_at(1.0 + TERMS.fresh + 0.1) == "unknown", "stale"
     one.on_view([OTHER._replace(alive=False)], 1.2)
     assert other_at(1.2) == "unknown", "dead by the view"
-    one.on_view([OTHER._replace(life=2)], 1.3)
+    one.on_view([OTHER._replace(generation=2)], 1.3)
     assert other_at(1.3) == "unknown", "another life"
     one.on_view([OTHER], 1.3)
     assert other_at(1.3) == "applied"
@@ -417,12 +420,12 @@
     one = machine((stamp_of(5, body_of(5)), body_of(5)))
     third = Peer("c", ("127.0.0.1", 3), "r/z", 1, True)
     one.on_view([OTHER, third], 0.0)
-    rows = wire.Rows(0, 0, b"", (wire.AgedRow(Row("c", 1, 5), REGISTER, 100),))
+    rows = wire.ReportBatch(0, 0, b"", (wire.AgedReport(MemberReport("c", 1, 5), REGISTER, 100),))
     tell(one, rows)
     assert one.spread(5, 0.1).zones[0].unknown == (OTHER.name,)
     tell(one, wire.Report(1, REGISTER, 5, 0, "", NO_VERSION), 0.2)
-    (told,) = tell(one, wire.Ask(), 0.3)
-    assert isinstance(told, wire.Rows) and len(told.members) == 2 * 10, "itself, and whom it heard"
+    (told,) = tell(one, wire.ReportsRequest(), 0.3)
+    assert isinstance(told, wire.ReportBatch) and len(told.members) == 2 * 10, "itself, and whom it heard"
 
 
 def test_a_report_that_waited_while_the_process_was_stopped_is_as_old_as_the_stop() -> None:
@@ -495,7 +498,7 @@
 def test_a_great_body_with_nothing_in_common_comes_by_parts(loss: float, transfers: int) -> None:
     fleet = world(45, seed=2, loss=loss, terms=TERMS._replace(transfers=transfers))
     fleet.run(4.0)
-    body = random.Random(3).randbytes(BODY_MOST)
+    body = random.Random(3).randbytes(MAX_BODY_BYTES)
     assert fleet.push(body) == 1
     relay = next(name for name in relays_of(fleet) if name not in fleet.voters)
     fleet.at(fleet.now + 1.0, partial(fleet.kill, relay))
@@ -579,7 +582,7 @@
     fleet.run(fleet.now + 6.0)
     assert {node.in_force.number for node in fleet.living()} == {1}
     assert all(node.machine and node.machine.known.number == 2 for node in fleet.living())
-    fleet.ask_spread("n4")
+    fleet.request_reports("n4")
     fleet.run(fleet.now + 0.5)
     rows = [row for zone in fleet.spread("n4", 2).zones for row in zone.behind]
     assert len(rows) == 9 and {row.reason for row in rows} == {"format 2 is newer than 1"}
@@ -593,7 +596,7 @@
     fleet.nodes["n31"].refuses = lambda stamp: "host.x: no such contract" if stamp.number == 1 else ""
     fleet.push(body_of(1))
     fleet.run(fleet.now + 2.0)
-    fleet.ask_spread("n0")
+    fleet.request_reports("n0")
     fleet.run(fleet.now + 0.5)
     spread = fleet.spread("n0", 1)
     assert [(row.name, row.applied, row.refused, row.reason) for zone in spread.zones for row in zone.behind] == [
@@ -610,7 +613,7 @@
     assert fleet.voters - set(relays_of(fleet, voters=False)), "one of them reports to relays only for this"
 
     def counted(number: int) -> bool:
-        fleet.ask_spread("n7")
+        fleet.request_reports("n7")
         fleet.run(fleet.now + 0.3)
         return fleet.spread("n7", number).everywhere
 
--- a/tests/test_rig_configuration.py
+++ b/tests/test_rig_configuration.py
@@ -15,8 +15,8 @@
 import trio
 
 from benchmarks.distribution.real import drawn_world, play_drawn, sound
-from thistleshore.distribution.model import Peer, Row as ReportRow, Terms
-from thistleshore.distribution.reports import Heard, Reports
+from thistleshore.distribution.model import Peer, MemberReport, ProtocolSettings
+from thistleshore.distribution.reports import ReceivedReport, Reports
 from thistleshore.rig import checks
 from thistleshore.rig.configuration import (
     ANY,
@@ -311,20 +311,20 @@
 def test_a_report_grows_old_however_often_instances_ask_one_another() -> None:
     """Two that ask each other all the time, each answer 0.3 s on its way, do not keep a dead member's report fresh."""
     peers = {name: Peer(name, ("127.0.0.1", number), "east/a", 1, True) for number, name in enumerate("abc", 1)}
-    terms = Terms(fresh=2.0)
+    terms = ProtocolSettings(fresh=2.0)
     pair = [Reports(terms), Reports(terms)]
     for reports in pair:
         reports.on_view(peers)
-    pair[0].take(Heard(ReportRow("c", 1, 5), 7, 0.0))
+    pair[0].take(ReceivedReport(MemberReport("c", 1, 5), 7, 0.0))
     now = 0.0
     for turn in range(20):
         teller, asker = pair[turn % 2], pair[1 - turn % 2]
-        messages = teller.tell(Heard(ReportRow("ab"[turn % 2], 1, 5), 7, now), 1000, now)
+        messages = teller.tell(ReceivedReport(MemberReport("ab"[turn % 2], 1, 5), 7, now), 1000, now)
         now += 0.3
         for message in messages:
             asker.take_rows(message, now)
     for reports, me in zip(pair, "ab", strict=True):
-        (zone,) = reports.count(5, 7, Heard(ReportRow(me, 1, 5), 7, now), peers[me], now).zones
+        (zone,) = reports.count(5, 7, ReceivedReport(MemberReport(me, 1, 5), 7, now), peers[me], now).zones
         assert "c" in zone.unknown
 
 
--- a/thistleshore/cli/configuration.py
+++ b/thistleshore/cli/configuration.py
@@ -15,7 +15,7 @@
 from thistleshore.cli.fleet import CONFIG, DONE, LATE, NO_MAJORITY, REFUSED
 from thistleshore.addresses import Address
 from thistleshore.cli.shared import JSON, echo_json, refuse
-from thistleshore.distribution.model import BODY_MOST, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, digest_of
 
 POLL = 0.3  # s between two questions of --wait
 ANSWER_WITHIN = 12.0  # s for a push: its check, its deposit and the rounds of the register
@@ -66,8 +66,8 @@
 def push(body: Path, against: int | None, reason: str, wait: float | None, file: str, as_json: bool) -> None:
     """Have the fleet agree on the tables of FILE, which replace those of every member's own file."""
     data = body.read_bytes()
-    if len(data) > BODY_MOST:
-        refuse(f"{body}: {len(data)} bytes, and at most {BODY_MOST} are allowed", REFUSED)
+    if len(data) > MAX_BODY_BYTES:
+        refuse(f"{body}: {len(data)} bytes, and at most {MAX_BODY_BYTES} are allowed", REFUSED)
     member = address_of(file, None)
     upload = _upload(member, data)
     found = _call(member, "config-push", upload, digest_of(data), _against(against), *reason.split())
--- a/thistleshore/config/operator.py
+++ b/thistleshore/config/operator.py
@@ -30,7 +30,7 @@
 from thistleshore.contracts.exchange import Terms as ExchangeTerms
 from thistleshore.contracts.model import OTHER_MEMBERS
 from thistleshore.core.model import HostLine
-from thistleshore.distribution.model import Terms as DistributionTerms
+from thistleshore.distribution.model import ProtocolSettings as DistributionSettings
 from thistleshore.distribution.plan import DistributionPlan
 from thistleshore.fleet.model import NAME_MOST, Terms as FleetTerms
 from thistleshore.fleet.plan import FleetPlan
@@ -467,7 +467,7 @@
             return None
         if "register" not in tables:
             self.faults.append("fleet.register: missing: versions of the configuration are agreed by its voters")
-        usual = DistributionTerms()
+        usual = DistributionSettings()
         with Section(tables["configuration"], "fleet.configuration", self.faults) as part:
             folder = part.text("dir")
             sync, fresh = part.number("sync", usual.sync, 0.05), part.number("fresh", usual.fresh, 0.1)
--- a/thistleshore/configuration/agreement.py
+++ b/thistleshore/configuration/agreement.py
@@ -30,10 +30,10 @@
     """A new version with that body, made against the version `against` (None: against whichever is in force).
 
     A body that is in force already leaves the value as it is, so a push whose answer was lost may be repeated.  So does
-    a push that has been made, whatever came after it: see `made`.
+    a push that has been made, whatever came after it: see `find_existing_change`.
     """
     current = value.configuration.current
-    if current is not None and current.digest == digest or made(value, digest, by, when) is not None:
+    if current is not None and current.digest == digest or find_existing_change(value, digest, by, when) is not None:
         return value
     if (refused := _moved_on(value.configuration, against)) is not None:
         return refused
@@ -54,14 +54,18 @@
     if number == configuration.number:
         return Refusal(IN_FORCE, configuration.number, (), f"version {number} is in force")
     current = configuration.current
-    if current is not None and current.digest == entry.digest or made(value, entry.digest, by, when) is not None:
+    if (
+        current is not None
+        and current.digest == entry.digest
+        or find_existing_change(value, entry.digest, by, when) is not None
+    ):
         return value
     if (refused := _moved_on(configuration, against)) is not None:
         return refused
     return _with_entry(value, entry.digest, entry.size, by, reason, when, restored=number)
 
 
-def made(value: Value, digest: str, by: str, when: float) -> ConfigurationEntry | None:
+def find_existing_change(value: Value, digest: str, by: str, when: float) -> ConfigurationEntry | None:
     """The version that this very change has made; None where it has made none yet.
 
     A change is proposed again where its round met another, whose proposer may have brought it about meanwhile: made
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -15,7 +15,7 @@
 from thistleshore.config import Plan
 from thistleshore.core.model import HostLine
 from thistleshore.configuration import document
-from thistleshore.distribution.model import FORMAT, REASON_MOST, Stamp
+from thistleshore.distribution.model import FORMAT, MAX_REASON_CHARS, Stamp
 from thistleshore.configuration.store import StoreError, VersionStore
 from thistleshore.releases.faults import point
 
@@ -34,14 +34,14 @@
     @property
     def reason(self) -> str:
         """As it is reported to the fleet: the first line of each problem."""
-        return "; ".join(problem.partition("\n")[0] for problem in self.problems)[:REASON_MOST]
+        return "; ".join(problem.partition("\n")[0] for problem in self.problems)[:MAX_REASON_CHARS]
 
 
 class NotDurable(NotApplied):
     """The disk took nothing."""
 
 
-class Held(NamedTuple):
+class StoredVersion(NamedTuple):
     """A version with its body."""
 
     stamp: Stamp
@@ -64,13 +64,13 @@
     def __init__(self, store: VersionStore, file: Plan) -> None:
         """`file` is the plan of the own file alone."""
         self.store = store
-        self.in_force: Held | None = None
+        self.in_force: StoredVersion | None = None
         self.force: Force | None = None  # puts a plan, and hosts where they are told, in force in the running process
-        self.on_reread: Callable[[], None] | None = None  # called when another reading of the file is taken
+        self.on_file_reloaded: Callable[[], None] | None = None  # called when another reading of the file is taken
         self._file = file  # as it was last put in force
         self._keeps_shares: bool | None = None  # what the running process cannot change; None while it starts
-        self.problems_at_start = 0  # versions on the disk that could not be used
-        self.hosts_told = False  # whether the hosts in force are those of a version
+        self.startup_problems = 0  # versions on the disk that could not be used
+        self.hosts_from_version = False  # whether the hosts in force are those of a version
         self._turn = trio.Lock()
 
     # -- the start
@@ -82,19 +82,19 @@
             held = self._read()
             if held is not None:
                 checked = self._check(held.body)
-                plan, self.in_force, self.hosts_told = checked.plan, held, checked.hosts
+                plan, self.in_force, self.hosts_from_version = checked.plan, held, checked.hosts
                 log.info("configuration: started on version %d of the disk", held.stamp.number)
         except (StoreError, NotApplied) as problem:
-            self.problems_at_start += 1
+            self.startup_problems += 1
             log.error("configuration: the version on the disk is not used, this instance's own file is: %s", problem)
         self._keeps_shares = plan.agreements is not None
         return plan
 
-    def _read(self) -> Held | None:
+    def _read(self) -> StoredVersion | None:
         found = self.store.read()
-        return None if found is None else Held(*found)
+        return None if found is None else StoredVersion(*found)
 
-    async def held(self) -> Held | None:
+    async def held(self) -> StoredVersion | None:
         """The version on the disk; None where there is none that can be used."""
         try:
             return await trio.to_thread.run_sync(self._read)
@@ -120,10 +120,10 @@
             await trio.to_thread.run_sync(self._write, stamp, body)
             point("configuration-durable")
             self._put_in_force(checked)
-            self.in_force = Held(stamp, body)
+            self.in_force = StoredVersion(stamp, body)
             point("configuration-in-force")
 
-    async def reread(self, file: Plan) -> Plan | None:
+    async def reload_file(self, file: Plan) -> Plan | None:
         """The plan of the own file, read again, with the version in force laid over it; the caller puts it in force.
 
         None, and a line in the log, where they do not go together: then the former reading counts on.
@@ -138,8 +138,8 @@
                     log.error("configuration not reread, the old one holds: version %d: %s", number, problem)
                     return None
             self._file = file
-        if self.on_reread is not None:
-            self.on_reread()
+        if self.on_file_reloaded is not None:
+            self.on_file_reloaded()
         return found
 
     def _check(self, body: bytes, file: Plan | None = None) -> Checked:
@@ -174,6 +174,6 @@
     def _put_in_force(self, checked: Checked) -> None:
         assert self.force is not None
         # A version without hosts gives the file's back, where the one before had some.
-        tell_hosts = checked.hosts or self.hosts_told
+        tell_hosts = checked.hosts or self.hosts_from_version
         self.force(checked.plan, checked.plan.known if tell_hosts else None)
-        self.hosts_told = checked.hosts
+        self.hosts_from_version = checked.hosts
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -177,7 +177,7 @@
         stamp = agreement.stamp(found, self.releases.register)
         if stamp.digest == digest_of(body):
             self.distribution.on_pushed(stamp, body)
-        entry = agreement.made(found, digest_of(body), self.releases.name, when)
+        entry = agreement.find_existing_change(found, digest_of(body), self.releases.name, when)
         return Done(stamp.number if entry is None else entry.number, digest_of(body))
 
     def _since(self, against: int | None) -> tuple[ConfigurationEntry, ...]:
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -14,7 +14,7 @@
 from thistleshore.configuration.applying import Applier, NotApplied, NotDurable
 from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
-from thistleshore.distribution.model import Action, Apply, Peer, Send, Spread, Stamp, Terms, digest_of
+from thistleshore.distribution.model import Action, Apply, Peer, Send, Spread, Stamp, ProtocolSettings, digest_of
 from thistleshore.fleet.model import Record, State
 from thistleshore.listening import Aside
 from thistleshore.releases.model import Value
@@ -71,7 +71,7 @@
 class Distribution:
     """Feeds the machine, and carries out what it asks for."""
 
-    def __init__(self, terms: Terms, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
+    def __init__(self, terms: ProtocolSettings, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
         self.fleet, self.releases, self.applier = fleet, releases, applier
         held = applier.in_force
         self.serving_from = "disk" if held is not None else "file"
@@ -84,7 +84,7 @@
             int.from_bytes(os.urandom(8), "big"),
             None if held is None else (held.stamp, held.body),
         )
-        self.machine.counts["disk_unusable"] += applier.problems_at_start
+        self.machine.counts["disk_unusable"] += applier.startup_problems
         self._events, self._inbox = trio.open_memory_channel[Event](inf)
         self._applies, self._to_apply = trio.open_memory_channel[Apply](inf)
         self._agreed, self._to_learn = trio.open_memory_channel[Stamp](inf)
@@ -94,7 +94,7 @@
         self._disk_failed = False  # what was refused may be taken once the disk has room
         self._aside = Aside()
         releases.on_agreed = self.on_value
-        applier.on_reread = self.on_file
+        applier.on_file_reloaded = self.on_file
 
     # -- what others tell it; none of these waits
 
@@ -201,7 +201,7 @@
             case Refused(stamp, reason):
                 return machine.on_refused(stamp, reason, now)
             case SpreadAsked():
-                return machine.ask_spread(now)
+                return machine.request_reports(now)
 
     async def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in actions:
--- a/thistleshore/configuration/document.py
+++ b/thistleshore/configuration/document.py
@@ -13,7 +13,7 @@
 
 from thistleshore import config
 from thistleshore.config.platform import MOVES
-from thistleshore.distribution.model import BODY_MOST, FORMAT
+from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT
 
 DISTRIBUTED = ("match", "address_set", "expressions", "member", "contracts", "host")
 NESTING_MOST = 16  # tables and lists in one another, and parts of a dotted key
@@ -69,8 +69,8 @@
 
 
 def _tables(body: bytes, source: str) -> dict[str, Any]:
-    if len(body) > BODY_MOST:
-        raise DocumentError((f"{source}: it has over {BODY_MOST} bytes",))
+    if len(body) > MAX_BODY_BYTES:
+        raise DocumentError((f"{source}: it has over {MAX_BODY_BYTES} bytes",))
     too_deep = DocumentError((f"{source}: it is nested deeper than {NESTING_MOST}",))
     try:
         text = body.decode()
--- a/thistleshore/configuration/store.py
+++ b/thistleshore/configuration/store.py
@@ -15,14 +15,14 @@
 
 import msgspec
 
-from thistleshore.distribution.model import BODY_MOST, FORMAT, Stamp, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT, Stamp, digest_of
 from thistleshore.releases.store import Unusable
 
 VERSION_FILE = "configuration.version"
 FILE_FORMAT = 1  # of VERSION_FILE; that of the body is in its stamp
-FILE_MOST = 2 * BODY_MOST
+FILE_MOST = 2 * MAX_BODY_BYTES
 BODY_FOLDER = "bodies"  # below a voter's folder
-OTHERS_KEPT = 8  # bodies that no entry of the history names
+MAX_UNREFERENCED_BODIES = 8  # bodies that no entry of the history names
 TEMPORARY_KEPT = 600.0  # s, after which the temporary file of a process that died is removed
 
 _MAGIC = b"thistleshore configuration "
@@ -34,7 +34,7 @@
     """The file in force cannot be used; the text says why."""
 
 
-class Torn(StoreError):
+class CorruptFile(StoreError):
     """The file is cut off or altered."""
 
 
@@ -91,7 +91,7 @@
             told = f"the body in force has format {saved.stamp.format}, and this program reads {FORMAT}"
             raise NewerFormat(told)
         if len(saved.body) != saved.stamp.size or digest_of(saved.body) != saved.stamp.digest:
-            raise Torn("the version in force is torn: its body is not that of its stamp")
+            raise CorruptFile("the version in force is torn: its body is not that of its stamp")
         return saved.stamp, saved.body
 
     def write(self, stamp: Stamp, body: bytes) -> None:
@@ -115,7 +115,7 @@
         if not _DIGEST.fullmatch(digest):
             return None
         try:
-            body = _read_bounded(self.folder / digest, BODY_MOST)
+            body = _read_bounded(self.folder / digest, MAX_BODY_BYTES)
         except OSError:
             return None
         return body if digest_of(body) == digest else None
@@ -123,10 +123,10 @@
     def keep(self, digest: str, body: bytes, named: Collection[str]) -> None:
         """Durable once this returns; Unusable where it is not that body, or where the disk takes nothing.
 
-        Kept besides are the bodies that `named` has, and the OTHERS_KEPT newest of the others.
+        Kept besides are the bodies that `named` has, and the MAX_UNREFERENCED_BODIES newest of the others.
         """
-        if len(body) > BODY_MOST:
-            raise Unusable(f"the body has over {BODY_MOST} bytes")
+        if len(body) > MAX_BODY_BYTES:
+            raise Unusable(f"the body has over {MAX_BODY_BYTES} bytes")
         if digest_of(body) != digest:
             raise Unusable("the body is not that of its digest")
         try:
@@ -147,7 +147,7 @@
             for path in self.folder.iterdir():
                 if _DIGEST.fullmatch(path.name) and path.name not in wanted:
                     others.append((path.stat().st_mtime_ns, path))
-            for _, path in sorted(others, reverse=True)[OTHERS_KEPT:]:
+            for _, path in sorted(others, reverse=True)[MAX_UNREFERENCED_BODIES:]:
                 path.unlink(missing_ok=True)
         except OSError:
             pass
@@ -159,20 +159,20 @@
 
 
 def _decode(data: bytes) -> _Saved:
-    """What the file says, or Torn or NewerFormat."""
+    """What the file says, or CorruptFile or NewerFormat."""
     head, _, content = data.partition(b"\n")
     file_format, _, checksum = head.removeprefix(_MAGIC).partition(b" ")
     if not head.startswith(_MAGIC) or not file_format.isdigit():
-        raise Torn("the version in force is torn: it does not begin as such a file does")
+        raise CorruptFile("the version in force is torn: it does not begin as such a file does")
     if int(file_format[:9]) > FILE_FORMAT:
         told = f"the version in force has format {int(file_format[:9])}, and this program reads {FILE_FORMAT}"
         raise NewerFormat(told)
     if digest_of(content).encode() != checksum:
-        raise Torn("the version in force is torn: the checksum is wrong")
+        raise CorruptFile("the version in force is torn: the checksum is wrong")
     try:
         return msgspec.msgpack.decode(content, type=_Saved)
     except msgspec.MsgspecError as problem:
-        raise Torn(f"the version in force is torn: {problem}") from None
+        raise CorruptFile(f"the version in force is torn: {problem}") from None
 
 
 def _read_bounded(path: Path, most: int) -> bytes:
--- a/thistleshore/configuration/uploads.py
+++ b/thistleshore/configuration/uploads.py
@@ -10,7 +10,7 @@
 
 import zstandard
 
-from thistleshore.distribution.model import BODY_MOST
+from thistleshore.distribution.model import MAX_BODY_BYTES
 
 UPLOADS_MOST = 8  # at a time
 PIECES_MOST = 160  # of one; a body that cannot be compressed needs 117
@@ -85,11 +85,11 @@
         data = base64.b64decode(text, altchars=b"-_", validate=True)
         size = zstandard.get_frame_parameters(data).content_size
         with zstandard.ZstdDecompressor(max_window_size=WINDOW_MOST).stream_reader(io.BytesIO(data)) as reader:
-            body = reader.read(BODY_MOST + 1)
+            body = reader.read(MAX_BODY_BYTES + 1)
     except (binascii.Error, ValueError, zstandard.ZstdError) as problem:
         raise UploadError(f"the upload is spoilt: {problem}") from None
-    if len(body) > BODY_MOST:
-        raise UploadError(f"a body has at most {BODY_MOST} bytes")
+    if len(body) > MAX_BODY_BYTES:
+        raise UploadError(f"a body has at most {MAX_BODY_BYTES} bytes")
     if len(body) != size:
         raise UploadError("the upload is spoilt: it is cut off")
     return body
--- a/thistleshore/distribution/bodies.py
+++ b/thistleshore/distribution/bodies.py
@@ -7,7 +7,7 @@
 
 import zstandard
 
-from thistleshore.distribution.model import BODY_MOST, NO_VERSION, Stamp, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, NO_VERSION, Stamp, digest_of
 
 LEVEL = 3  # of the compression
 ENCODINGS_KEPT = 8
@@ -39,7 +39,7 @@
 
 def decode(data: bytes, base: bytes | None, stamp: Stamp) -> bytes:
     """The body of a version from what was sent, checked; nothing is allocated beyond its size."""
-    if stamp.size > BODY_MOST or len(data) > encoded_most(stamp):
+    if stamp.size > MAX_BODY_BYTES or len(data) > encoded_most(stamp):
         raise Mismatch("size")
     try:
         if zstandard.frame_content_size(data) != stamp.size:
--- a/thistleshore/distribution/machine.py
+++ b/thistleshore/distribution/machine.py
@@ -24,27 +24,27 @@
 from thistleshore.distribution.bodies import Bodies, Mismatch, decode, fits
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import (
-    BODY_MOST,
+    MAX_BODY_BYTES,
     FORMAT,
     NO_VERSION,
-    REASON_MOST,
+    MAX_REASON_CHARS,
     Action,
     Apply,
-    Noted,
+    LogEvent,
     Peer,
-    Row,
+    MemberReport,
     Send,
     Spread,
     Stamp,
-    Terms,
+    ProtocolSettings,
 )
 from thistleshore.distribution.offers import Offers
-from thistleshore.distribution.reports import Heard, Reports
+from thistleshore.distribution.reports import ReceivedReport, Reports
 from thistleshore.distribution.transfer import Fetching, Serving, Source, Taken
 from thistleshore.distribution.tree import Tree
 
 JITTER_LEAST, JITTER_SPAN = 0.75, 0.5  # of `sync`: times between reports go from 0.75 to 1.25 of it
-WAIT_LEAST = 0.25  # of `wait_most`, for one whose relays did not answer
+WAIT_LEAST = 0.25  # of `max_wait`, for one whose relays did not answer
 SOURCES_MOST = 4  # of those that told of the newest version
 TRANSFER_BITS = 48
 STALL_LEAST = 0.5  # s by which a call of `on_time` may be late; whoever is later was stopped
@@ -62,7 +62,7 @@
         fleet: str,
         me: Peer,
         voters: frozenset[str],
-        terms: Terms,
+        terms: ProtocolSettings,
         now: float,
         seed: int = 0,
         held: tuple[Stamp, bytes] | None = None,
@@ -72,7 +72,7 @@
         self.applied: Stamp = held[0] if held is not None else NO_VERSION
         self.known: Stamp = self.applied
         self.counts: Counter[str] = Counter()
-        self._random = randoms.Random(f"{seed} {me.name} {me.life}")  # never in step with another instance
+        self._random = randoms.Random(f"{seed} {me.name} {me.generation}")  # never in step with another instance
         self._peers: dict[str, Peer] = {}
         self._tree = Tree(me, {}, voters)
         self._bodies = Bodies(terms.kept)
@@ -117,8 +117,8 @@
     def on_agreed(self, stamp: Stamp, body: bytes | None, now: float) -> list[Action]:
         """The register has agreed on a version; `body` where this instance has it."""
         if not self._acceptable(stamp):
-            if stamp.size > BODY_MOST and stamp.number > self._refused:
-                self._refuse(stamp, f"a body of {stamp.size} bytes is longer than {BODY_MOST}", now)
+            if stamp.size > MAX_BODY_BYTES and stamp.number > self._refused:
+                self._refuse(stamp, f"a body of {stamp.size} bytes is longer than {MAX_BODY_BYTES}", now)
             return self._done()
         if self._newer(stamp, self._agreed):
             self._agreed = stamp
@@ -141,7 +141,7 @@
         self.counts["bytes_heard"] += len(data)
         try:
             envelope = wire.read(data, self.fleet, self.terms.datagram)
-        except wire.Spoilt as problem:
+        except wire.InvalidDatagram as problem:
             self.counts[str(problem)] += 1
             return self._done()
         if envelope.sender == self.me.name:
@@ -149,7 +149,7 @@
             return self._done()
         peer = self._peers.get(envelope.sender)
         source = Source(envelope.sender, sender if peer is None else peer.address)
-        self._take(envelope.message, envelope.life, source, now)
+        self._take(envelope.message, envelope.generation, source, now)
         return self._done()
 
     def on_time(self, now: float) -> list[Action]:
@@ -189,12 +189,12 @@
 
     # -- what others in this process ask ---------------------------------------------------------
 
-    def ask_spread(self, now: float) -> list[Action]:
+    def request_reports(self, now: float) -> list[Action]:
         """Ask the zone relays of all zones for the fresh reports that they hold."""
         for relays in self._tree.zone_relays.values():
             for relay in relays:
                 if relay.name != self.me.name:
-                    self._send(relay.address, wire.Ask())
+                    self._send(relay.address, wire.ReportsRequest())
         return self._done()
 
     def spread(self, number: int, now: float) -> Spread:
@@ -221,10 +221,10 @@
 
     # -- datagrams ---------------------------------------------------------------------------------
 
-    def _take(self, message: wire.Message, life: int, source: Source, now: float) -> None:
+    def _take(self, message: wire.Message, generation: int, source: Source, now: float) -> None:
         match message:
             case wire.Report():
-                self._on_report(message, life, source, now)
+                self._on_report(message, generation, source, now)
             case wire.Answer():
                 self._on_answer(message, source, now)
             case wire.Offer():
@@ -238,16 +238,16 @@
                 self._on_part(message, now)
             case wire.Busy():
                 self._on_busy(message, now)
-            case wire.Lacking():
+            case wire.BodyUnavailable():
                 self._on_lacking(message, now)
-            case wire.Ask():
+            case wire.ReportsRequest():
                 self._on_ask(source, now)
-            case wire.Rows():
+            case wire.ReportBatch():
                 self.counts["rows_useless"] += self._reports.take_rows(message, self._heard_at(now))
 
-    def _on_report(self, report: wire.Report, life: int, source: Source, now: float) -> None:
-        row = Row(source.name, life, report.applied, report.refused, report.reason)
-        if not self._reports.take(Heard(row, report.register, self._heard_at(now))):
+    def _on_report(self, report: wire.Report, generation: int, source: Source, now: float) -> None:
+        row = MemberReport(source.name, generation, report.applied, report.refused, report.reason)
+        if not self._reports.take(ReceivedReport(row, report.register, self._heard_at(now))):
             self.counts["report_useless"] += 1
         self._send(source.address, wire.Answer(report.number, self._bodies.newest))
         self._hear(report.held, source, now)
@@ -312,7 +312,7 @@
         if register and stamp.register != register:
             self._count_unacceptable("other_register", stamp)
             return False
-        if stamp.size > BODY_MOST:
+        if stamp.size > MAX_BODY_BYTES:
             self._count_unacceptable("too_large", stamp)
             return False
         kept = self._bodies.get(stamp.number)
@@ -356,7 +356,7 @@
     def _refuse(self, stamp: Stamp, reason: str, now: float) -> None:
         self.counts["refused"] += 1
         self._refused = stamp.number
-        self._reason = reason.encode()[:REASON_MOST].decode(errors="ignore")
+        self._reason = reason.encode()[:MAX_REASON_CHARS].decode(errors="ignore")
         self._note("refused", stamp, self._reason)
         self._report(now, everywhere=True)
 
@@ -369,9 +369,9 @@
 
     # -- reports -----------------------------------------------------------------------------------
 
-    def _own_report(self, now: float) -> Heard:
-        row = Row(self.me.name, self.me.life, self.applied.number, self._refused, self._reason)
-        return Heard(row, self.applied.register, now)
+    def _own_report(self, now: float) -> ReceivedReport:
+        row = MemberReport(self.me.name, self.me.generation, self.applied.number, self._refused, self._reason)
+        return ReceivedReport(row, self.applied.register, now)
 
     def _report(self, now: float, everywhere: bool) -> None:
         """Report to the first parent that answers; `everywhere`: to all relays of the zone as well."""
@@ -407,7 +407,7 @@
 
     def _wait_time(self) -> float:
         """For one that nobody answered: by chance, so that many in the same case do not come at once."""
-        return self.terms.wait_most * (WAIT_LEAST + (1.0 - WAIT_LEAST) * self._random.random())
+        return self.terms.max_wait * (WAIT_LEAST + (1.0 - WAIT_LEAST) * self._random.random())
 
     def _sync_time(self) -> float:
         return self.terms.sync * (JITTER_LEAST + JITTER_SPAN * self._random.random())
@@ -494,7 +494,7 @@
         if (fetching := self._fetching) is not None and busy.transfer == fetching.transfer:
             fetching.on_busy(now + busy.after / 1000)
 
-    def _on_lacking(self, lacking: wire.Lacking, now: float) -> None:
+    def _on_lacking(self, lacking: wire.BodyUnavailable, now: float) -> None:
         if (fetching := self._fetching) is not None and lacking.transfer == fetching.transfer:
             fetching.next_source()
             self._request(fetching, now)
@@ -503,14 +503,14 @@
 
     def _count_mismatch(self, source: str) -> None:
         self.counts["mismatch"] += 1
-        self._out.append(Noted("mismatch", source))
+        self._out.append(LogEvent("mismatch", source))
 
     def _note(self, what: str, stamp: Stamp, told: str = "") -> None:
         text = f"version {stamp.number} of register {stamp.register}"
-        self._out.append(Noted(what, f"{text}: {told}" if told else text))
+        self._out.append(LogEvent(what, f"{text}: {told}" if told else text))
 
     def _send(self, address: Address, message: wire.Message) -> None:
-        data = wire.write(self.fleet, self.me.name, self.me.life, message)
+        data = wire.write(self.fleet, self.me.name, self.me.generation, message)
         self.counts["sent"] += 1
         self.counts["bytes"] += len(data)
         self._out.append(Send(address, data))
--- a/thistleshore/distribution/model.py
+++ b/thistleshore/distribution/model.py
@@ -16,8 +16,8 @@
 
 from thistleshore.addresses import Address
 
-BODY_MOST = 256 * 1024  # bytes of a body
-REASON_MOST = 200  # characters of why an instance could not apply a version
+MAX_BODY_BYTES = 256 * 1024  # bytes of a body
+MAX_REASON_CHARS = 200  # characters of why an instance could not apply a version
 FORMAT = 1  # of bodies; an instance keeps the version before one whose format it does not know
 RELAYS = 2  # living members of a zone, and of a region, that pass versions on
 DIGEST_BYTES = 16
@@ -47,7 +47,7 @@
     name: str
     address: Address
     zone: str
-    life: int
+    generation: int
     alive: bool  # False: suspected, or dead and not yet forgotten
 
     @property
@@ -60,24 +60,24 @@
     return zone.partition("/")[0]
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MemberReport(msgspec.Struct, frozen=True, array_like=True):
     """What one instance last said of itself."""
 
     name: str
-    life: int
+    generation: int
     applied: int  # the version in force there; 0: that of its own file alone
     refused: int = 0  # a newer version that it could not apply; 0: none
     reason: str = ""  # why
 
 
-class Terms(NamedTuple):
+class ProtocolSettings(NamedTuple):
     """The protocol's named times and sizes; times in seconds."""
 
     sync: float = 3.0  # between two reports of an instance to its relays
     fresh: float = 7.5  # after which a report no longer counts
     answer: float = 0.4  # for an answer, before another relay is asked
     retries: int = 4  # that an offer is sent again to one that has not acknowledged it
-    wait_most: float = 6.0  # the longest wait by chance of an instance whose relays did not answer
+    max_wait: float = 6.0  # the longest wait by chance of an instance whose relays did not answer
     datagram: int = 1200  # bytes
     window: int = 8  # parts of a body that are asked for at once
     transfers: int = 16  # bodies that a relay sends at the same time; others are told when to come back
@@ -101,14 +101,14 @@
     body: bytes
 
 
-class Noted(NamedTuple):
+class LogEvent(NamedTuple):
     """An event for the log and the counters."""
 
     what: str  # one word, e.g. offered, fetched, spoilt, other_register, too_large
     told: str = ""
 
 
-Action = Send | Apply | Noted
+Action = Send | Apply | LogEvent
 
 
 # -- what operators are told
@@ -120,7 +120,7 @@
     zone: str
     members: int
     applied: int  # have that version or a newer one in force, by their own fresh report
-    behind: tuple[Row, ...]  # fresh reports of an older version
+    behind: tuple[MemberReport, ...]  # fresh reports of an older version
     unknown: tuple[str, ...]  # no fresh report: dead, cut off, or without this part
 
 
--- a/thistleshore/distribution/offers.py
+++ b/thistleshore/distribution/offers.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from math import inf
 
-from thistleshore.distribution.model import NO_VERSION, Peer, Stamp, Terms
+from thistleshore.distribution.model import NO_VERSION, Peer, Stamp, ProtocolSettings
 
 
 class Offers:
     """Who has not yet acknowledged the version that is offered."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: ProtocolSettings) -> None:
         self._terms = terms
         self._waiting: dict[str, Peer] = {}
         self._repeated = 0
--- a/thistleshore/distribution/plan.py
+++ b/thistleshore/distribution/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from thistleshore.distribution.model import Terms
+from thistleshore.distribution.model import ProtocolSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -12,4 +12,4 @@
     """How this instance follows the configuration that its fleet agrees on."""
 
     folder: str  # of the durable version
-    terms: Terms
+    terms: ProtocolSettings
--- a/thistleshore/distribution/reports.py
+++ b/thistleshore/distribution/reports.py
@@ -15,35 +15,35 @@
 import msgspec
 import xxhash
 
-from thistleshore.distribution.model import Peer, Row, Spread, Terms, Zone
-from thistleshore.distribution.wire import AGE_MOST, ROWS_MOST, AgedRow, Rows, row_size
+from thistleshore.distribution.model import Peer, MemberReport, Spread, ProtocolSettings, Zone
+from thistleshore.distribution.wire import AGE_MOST, ROWS_MOST, AgedReport, ReportBatch, row_size
 
 SHORT = struct.Struct("!QH")  # the token of a member, and the age of its report in ms
 
 
-class Heard(NamedTuple):
+class ReceivedReport(NamedTuple):
     """A report, and when it was heard here."""
 
-    row: Row
+    row: MemberReport
     register: int  # that of `row.applied`
     at: float
 
 
-def token_of(name: str, life: int) -> int:
+def token_of(name: str, generation: int) -> int:
     """Stands for one life of a member."""
-    return xxhash.xxh3_64_intdigest(f"{name}\0{life}".encode())
+    return xxhash.xxh3_64_intdigest(f"{name}\0{generation}".encode())
 
 
 class Reports:
     """The last report of each member of the view."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: ProtocolSettings) -> None:
         self._terms = terms
         self._peers: Mapping[str, Peer] = {}
-        self._heard: dict[str, Heard] = {}  # from the members themselves
+        self._heard: dict[str, ReceivedReport] = {}  # from the members themselves
         # From others.  Not told on: with each hop a report grows younger by its time on the way, and where many ask one
         # another it would never grow old.
-        self._told: dict[str, Heard] = {}
+        self._told: dict[str, ReceivedReport] = {}
         self._by_token: dict[int, Peer] | None = None  # made when it is needed
 
     def on_view(self, peers: Mapping[str, Peer]) -> None:
@@ -53,18 +53,18 @@
         self._told = {name: heard for name, heard in self._told.items() if name in peers}
         self._by_token = None
 
-    def take(self, heard: Heard) -> bool:
+    def take(self, heard: ReceivedReport) -> bool:
         """Keep a report of its member; False where that is not in the view, or has said something later."""
         return self._keep(heard, self._heard)
 
-    def _keep(self, heard: Heard, reports: dict[str, Heard]) -> bool:
+    def _keep(self, heard: ReceivedReport, reports: dict[str, ReceivedReport]) -> bool:
         name = heard.row.name
         if name not in self._peers or ((kept := reports.get(name)) is not None and not _supersedes(heard, kept)):
             return False
         reports[name] = heard
         return True
 
-    def take_rows(self, message: Rows, now: float) -> int:
+    def take_rows(self, message: ReportBatch, now: float) -> int:
         """Keep what another instance holds; how many of those reports were of no use."""
         useless = len(message.members) % SHORT.size
         whole = len(message.members) - useless
@@ -73,13 +73,13 @@
             if peer is None:
                 useless += 1
                 continue
-            row = Row(peer.name, peer.life, message.applied)
-            useless += not self._keep(Heard(row, message.register, now - age / 1000), self._told)
+            row = MemberReport(peer.name, peer.generation, message.applied)
+            useless += not self._keep(ReceivedReport(row, message.register, now - age / 1000), self._told)
         for aged in message.rows:
-            useless += not self._keep(Heard(aged.row, aged.register, now - aged.age / 1000), self._told)
+            useless += not self._keep(ReceivedReport(aged.row, aged.register, now - aged.age / 1000), self._told)
         return useless
 
-    def tell(self, own: Heard, room: int, now: float) -> list[Rows]:
+    def tell(self, own: ReceivedReport, room: int, now: float) -> list[ReportBatch]:
         """All fresh reports of the members themselves, as messages of at most so many bytes beyond their numbers."""
         fresh = [own, *(heard for heard in self._heard.values() if self._is_fresh(heard, now))]
         plain = Counter((heard.register, heard.row.applied) for heard in fresh if not heard.row.refused)
@@ -87,15 +87,15 @@
         short, whole = [], []
         for heard in fresh:
             if (heard.register, heard.row.applied) == common and not heard.row.refused:
-                short.append(SHORT.pack(token_of(heard.row.name, heard.row.life), _age(heard, now)))
+                short.append(SHORT.pack(token_of(heard.row.name, heard.row.generation), _age(heard, now)))
             else:
-                whole.append(AgedRow(heard.row, heard.register, _age(heard, now)))
+                whole.append(AgedReport(heard.row, heard.register, _age(heard, now)))
         register, applied = common or (0, 0)
-        messages = [Rows(register, applied, members, ()) for members in _chunks(short, room // SHORT.size)]
-        messages += [Rows(0, 0, b"", rows) for rows in _filled(whole, room)]
+        messages = [ReportBatch(register, applied, members, ()) for members in _chunks(short, room // SHORT.size)]
+        messages += [ReportBatch(0, 0, b"", rows) for rows in _filled(whole, room)]
         return messages
 
-    def count(self, number: int, register: int, own: Heard, me: Peer, now: float) -> Spread:
+    def count(self, number: int, register: int, own: ReceivedReport, me: Peer, now: float) -> Spread:
         """How far each zone is with a version of that register."""
         by_zone: dict[str, list[Peer]] = {me.zone: [me]}
         for peer in self._peers.values():
@@ -109,13 +109,18 @@
             zones.append(Zone(zone, len(members), applied, tuple(behind), tuple(unknown)))
         return Spread(number, tuple(zones))
 
-    def _row_of(self, peer: Peer, register: int, own: Heard, now: float) -> Row | None:
+    def _row_of(self, peer: Peer, register: int, own: ReceivedReport, now: float) -> MemberReport | None:
         """What a member says now; None where it is unknown."""
         if peer.name == own.row.name:
             heard = own
         else:
             found = self._latest(peer.name)
-            if found is None or not peer.alive or found.row.life != peer.life or not self._is_fresh(found, now):
+            if (
+                found is None
+                or not peer.alive
+                or found.row.generation != peer.generation
+                or not self._is_fresh(found, now)
+            ):
                 return None
             heard = found
         if heard.row.applied and heard.register != register:
@@ -123,30 +128,30 @@
             return msgspec.structs.replace(heard.row, applied=0, reason=reason)
         return heard.row
 
-    def _latest(self, name: str) -> Heard | None:
+    def _latest(self, name: str) -> ReceivedReport | None:
         """What a member said last, to this instance or to one that told of it."""
         heard, told = self._heard.get(name), self._told.get(name)
         if heard is None or told is None:
             return heard or told
         return told if _supersedes(told, heard) else heard
 
-    def _is_fresh(self, heard: Heard, now: float) -> bool:
+    def _is_fresh(self, heard: ReceivedReport, now: float) -> bool:
         return now - heard.at <= self._terms.fresh
 
     def _tokens(self) -> dict[int, Peer]:
         if self._by_token is None:
-            self._by_token = {token_of(peer.name, peer.life): peer for peer in self._peers.values()}
+            self._by_token = {token_of(peer.name, peer.generation): peer for peer in self._peers.values()}
         return self._by_token
 
 
-def _supersedes(heard: Heard, kept: Heard) -> bool:
+def _supersedes(heard: ReceivedReport, kept: ReceivedReport) -> bool:
     """Whether a report is later than another of the same member."""
-    if heard.row.life != kept.row.life:
-        return heard.row.life > kept.row.life
+    if heard.row.generation != kept.row.generation:
+        return heard.row.generation > kept.row.generation
     return heard.row.applied >= kept.row.applied and heard.at >= kept.at
 
 
-def _age(heard: Heard, now: float) -> int:
+def _age(heard: ReceivedReport, now: float) -> int:
     return min(AGE_MOST, max(0, round((now - heard.at) * 1000)))
 
 
@@ -156,9 +161,9 @@
         yield b"".join(chunk)
 
 
-def _filled(rows: Iterable[AgedRow], room: int) -> Iterator[tuple[AgedRow, ...]]:
+def _filled(rows: Iterable[AgedReport], room: int) -> Iterator[tuple[AgedReport, ...]]:
     """The rows in groups that fit into a datagram each."""
-    group: list[AgedRow] = []
+    group: list[AgedReport] = []
     used = 0
     for row in rows:
         size = row_size(row)
--- a/thistleshore/distribution/transfer.py
+++ b/thistleshore/distribution/transfer.py
@@ -14,7 +14,7 @@
 from thistleshore.distribution import wire
 from thistleshore.distribution.bodies import Bodies, Encoding, encoded_most
 from thistleshore.addresses import Address
-from thistleshore.distribution.model import NO_VERSION, Stamp, Terms
+from thistleshore.distribution.model import NO_VERSION, Stamp, ProtocolSettings
 
 SILENT_ANSWERS = 2.0  # answer times without a word of a source, after which another is asked
 PATIENCE_TRIPS = 2.5  # round trips after which a part is asked for again
@@ -45,7 +45,9 @@
 class Fetching:
     """The body of one version on its way here."""
 
-    def __init__(self, stamp: Stamp, base: Stamp, sources: Iterable[Source], terms: Terms, number: int) -> None:
+    def __init__(
+        self, stamp: Stamp, base: Stamp, sources: Iterable[Source], terms: ProtocolSettings, number: int
+    ) -> None:
         """`number` is that of the first transfer; each source gets another."""
         self.stamp, self.base = stamp, base
         self.transfer = number
@@ -164,7 +166,7 @@
 class Serving:
     """The transfers under way from here to others."""
 
-    def __init__(self, bodies: Bodies, terms: Terms, room: int) -> None:
+    def __init__(self, bodies: Bodies, terms: ProtocolSettings, room: int) -> None:
         """`room` is the most bytes of a part."""
         self._bodies, self._terms, self._room = bodies, terms, room
         self._until: dict[str, float] = {}  # of each transfer under way, by who fetches
@@ -172,7 +174,7 @@
     def answer(self, request: wire.Fetch, sender: str, chance: float, now: float) -> list[wire.Message]:
         """What to send for a request; `chance` from 0 to 1 spreads those who have to come back."""
         if not self._bodies.has(request.number, request.digest):
-            return [wire.Lacking(request.transfer)]
+            return [wire.BodyUnavailable(request.transfer)]
         base = request.base if self._bodies.has(request.base, request.base_digest) else 0
         encoding = self._bodies.encoding(request.number, base)
         count = max(1, -(-len(encoding.data) // self._room))
--- a/thistleshore/distribution/wire.py
+++ b/thistleshore/distribution/wire.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from thistleshore.distribution.model import DIGEST_BYTES, NO_VERSION, REASON_MOST, Row, Stamp
+from thistleshore.distribution.model import DIGEST_BYTES, NO_VERSION, MAX_REASON_CHARS, MemberReport, Stamp
 
 MAGIC = b"tC"
 VERSION = 1
@@ -32,7 +32,7 @@
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=AGE_MOST)]
 
 
-class Spoilt(Exception):
+class InvalidDatagram(Exception):
     """What came is no datagram of ours; the text is the kind that is counted."""
 
 
@@ -43,7 +43,7 @@
     register: Number  # that of `applied`
     applied: Number
     refused: Number
-    reason: Annotated[str, msgspec.Meta(max_length=REASON_MOST)]
+    reason: Annotated[str, msgspec.Meta(max_length=MAX_REASON_CHARS)]
     held: Stamp  # the newest version whose body the sender can send
 
 
@@ -67,7 +67,7 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A request for parts of a body; answered by those parts, `Busy` or `Lacking`."""
+    """A request for parts of a body; answered by those parts, `Busy` or `BodyUnavailable`."""
 
     transfer: Number  # repeated in the answers
     number: Number
@@ -95,34 +95,34 @@
     after: Milliseconds
 
 
-class Lacking(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class BodyUnavailable(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The sender has no body of the version that was asked for."""
 
     transfer: Number
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A request for the fresh reports that the receiver holds; answered by `Rows`."""
+class ReportsRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """A request for the fresh reports that the receiver holds; answered by `ReportBatch`."""
 
 
-class AgedRow(msgspec.Struct, frozen=True, array_like=True):
+class AgedReport(msgspec.Struct, frozen=True, array_like=True):
     """A report that another instance sent to the sender."""
 
-    row: Row
+    row: MemberReport
     register: Number  # that of `row.applied`
     age: Milliseconds  # since it was heard
 
 
-class Rows(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class ReportBatch(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Fresh reports: `members` are those that say the same, in short, and `rows` are others, whole."""
 
     register: Number  # that of `applied`
     applied: Number  # by all of `members`
     members: bytes  # of each its token and the age of its report, see `reports.py`
-    rows: Annotated[tuple[AgedRow, ...], msgspec.Meta(max_length=ROWS_MOST)]
+    rows: Annotated[tuple[AgedReport, ...], msgspec.Meta(max_length=ROWS_MOST)]
 
 
-Message = Report | Answer | Offer | Acknowledge | Fetch | Part | Busy | Lacking | Ask | Rows
+Message = Report | Answer | Offer | Acknowledge | Fetch | Part | Busy | BodyUnavailable | ReportsRequest | ReportBatch
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -130,7 +130,7 @@
 
     fleet: str
     sender: Name
-    life: Number
+    generation: Number
     message: Message
 
 
@@ -138,32 +138,32 @@
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
 
-def write(fleet: str, sender: str, life: int, message: Message) -> bytes:
+def write(fleet: str, sender: str, generation: int, message: Message) -> bytes:
     """The datagram of a message."""
-    body = _encoder.encode(Envelope(fleet, sender, life, message))
+    body = _encoder.encode(Envelope(fleet, sender, generation, message))
     return HEAD.pack(MAGIC, VERSION, crc32(body)) + body
 
 
 def read(data: bytes, fleet: str, most: int) -> Envelope:
-    """What a datagram says, or Spoilt; the cheap checks come first, as anybody may send anything."""
+    """What a datagram says, or InvalidDatagram; the cheap checks come first, as anybody may send anything."""
     if not HEAD.size < len(data) <= most:
-        raise Spoilt("size")
+        raise InvalidDatagram("size")
     magic, version, checksum = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Spoilt("garbage")
+        raise InvalidDatagram("garbage")
     if version != VERSION:
-        raise Spoilt("version")
+        raise InvalidDatagram("version")
     body = memoryview(data)[HEAD.size :]
     if crc32(body) != checksum:
-        raise Spoilt("garbage")
+        raise InvalidDatagram("garbage")
     try:
         envelope = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Spoilt("garbage") from None
+        raise InvalidDatagram("garbage") from None
     if envelope.fleet != fleet:
-        raise Spoilt("fleet")
+        raise InvalidDatagram("fleet")
     if not _sound(envelope.message):
-        raise Spoilt("garbage")
+        raise InvalidDatagram("garbage")
     return envelope
 
 
@@ -172,7 +172,7 @@
     return most - HEAD.size - ENVELOPE_ROOM - len(fleet.encode()) - len(sender.encode())
 
 
-def row_size(row: AgedRow) -> int:
+def row_size(row: AgedReport) -> int:
     """Bytes of a row in a datagram."""
     return len(_encoder.encode(row))
 
@@ -183,7 +183,7 @@
         return _sound_stamp(message.held)
     if isinstance(message, Offer):
         return message.stamp.number > 0 and _sound_stamp(message.stamp)
-    if isinstance(message, Rows):
+    if isinstance(message, ReportBatch):
         return _sound_rows(message.rows)
     return True
 
@@ -200,10 +200,10 @@
     )
 
 
-def _sound_rows(rows: Sequence[AgedRow]) -> bool:
+def _sound_rows(rows: Sequence[AgedReport]) -> bool:
     return all(
         0 < len(row.name) <= NAME_MOST
-        and len(row.reason) <= REASON_MOST
-        and all(0 <= number < 1 << NUMBER_BITS for number in (row.life, row.applied, row.refused))
+        and len(row.reason) <= MAX_REASON_CHARS
+        and all(0 <= number < 1 << NUMBER_BITS for number in (row.generation, row.applied, row.refused))
         for row in (aged.row for aged in rows)
     )
--- a/thistleshore/follower.py
+++ b/thistleshore/follower.py
@@ -65,7 +65,7 @@
         if changed := self.plan.changed(found):
             log.warning("configuration reread: a restart is needed for %s", ", ".join(changed))
         if self.applier is not None and not NEEDS_RESTART & set(changed):
-            combined = await self.applier.reread(found)
+            combined = await self.applier.reload_file(found)
             if combined is None:
                 return False
             found = combined  # and nothing waits from here on, so that no version comes between
--- a/thistleshore/rig/configuration.py
+++ b/thistleshore/rig/configuration.py
@@ -20,7 +20,7 @@
 import trio
 import zstandard
 
-from thistleshore.distribution.model import BODY_MOST, Terms, digest_of
+from thistleshore.distribution.model import MAX_BODY_BYTES, ProtocolSettings, digest_of
 from thistleshore.rig.rig import CHANGE, Rig
 from thistleshore.rig.truth import Row
 
@@ -147,7 +147,9 @@
 
 def joined(parts: Sequence[str]) -> bytes:
     """The body of an upload, as the program has to read it."""
-    return zstandard.ZstdDecompressor().decompress(base64.urlsafe_b64decode("".join(parts)), max_output_size=BODY_MOST)
+    return zstandard.ZstdDecompressor().decompress(
+        base64.urlsafe_b64decode("".join(parts)), max_output_size=MAX_BODY_BYTES
+    )
 
 
 # -- operators
@@ -305,7 +307,7 @@
 def _fresh(rig: Rig) -> float:
     """The s for which a report counts, as the files of the processes have it."""
     file = tomllib.loads(rig.processes[rig.world.names[0]].file.read_text())
-    return float(file["fleet"].get("configuration", {}).get("fresh", Terms().fresh))
+    return float(file["fleet"].get("configuration", {}).get("fresh", ProtocolSettings().fresh))
 
 
 def _read(answer: str, kind: type[Read]) -> Read | None:
--- a/thistleshore/wiring/distribution.py
+++ b/thistleshore/wiring/distribution.py
@@ -32,7 +32,7 @@
     fleet.configuration_call = ConfigurationCalls(releases, distribution, applier).on_call
     if components.handover is not None:
         components.handover.distribution = distribution
-    if components.initial.inherited is not None and applier.hosts_told:
+    if components.initial.inherited is not None and applier.hosts_from_version:
         # The hosts of the process before, which the broker has been told, may be those of an earlier version.
         components.broker.inbox.send_nowait(HostListReceived(ListKind.FULL, plan.known))
     components.start_as_member(distribution.run)
