--- a/benchmarks/distribution/baselines.py
+++ b/benchmarks/distribution/baselines.py
@@ -113,14 +113,14 @@
     def __init__(
         self,
         fleet: str,
-        me: Peer,
+        local_peer: Peer,
         voters: frozenset[str],
         terms: ProtocolSettings,
         now: float,
         seed: int = 0,
         held: tuple[Stamp, bytes] | None = None,
     ) -> None:
-        self.me, self.voters = me, voters
+        self.local_peer, self.voters = local_peer, voters
         self.applied = held[0] if held is not None else NO_VERSION
         self._bodies = {held[0].number: held[1]} if held is not None else {}
         self.counts: Counter[str] = Counter()
@@ -138,7 +138,7 @@
     def on_view(self, peers: Iterable[Peer], now: float) -> list[Action]:
         """The voters that can be asked; whether they live is found out by asking."""
         self._addresses = {
-            peer.name: peer.address for peer in peers if peer.name in self.voters and peer.name != self.me.name
+            peer.name: peer.address for peer in peers if peer.name in self.voters and peer.name != self.local_peer.name
         }
         return []
 
--- a/benchmarks/distribution/cost.py
+++ b/benchmarks/distribution/cost.py
@@ -74,7 +74,7 @@
         try:
             return method(self, *args, **kwargs)
         finally:
-            self.cpu.spent[self.me.name] += time.thread_time_ns() - begun
+            self.cpu.spent[self.local_peer.name] += time.thread_time_ns() - begun
 
     return timed
 
--- a/benchmarks/distribution/deaths.py
+++ b/benchmarks/distribution/deaths.py
@@ -82,12 +82,12 @@
 
     def on_datagram(self, data: bytes, sender: Address, now: float) -> list[Action]:
         """A datagram; its kind tells the step."""
-        step = self.deaths.planned.get(self.me.name)
+        step = self.deaths.planned.get(self.local_peer.name)
         if step is None:
             return super().on_datagram(data, sender, now)
         known = self.known.number
         actions = super().on_datagram(data, sender, now)
-        return self._after(wire.read(data, self.fleet, self.terms.datagram).message, known, actions)
+        return self._after(wire.read(data, self.fleet, self.settings.max_datagram_bytes).message, known, actions)
 
     def on_applied(self, stamp: Stamp, now: float) -> list[Action]:
         """The carrier's word."""
@@ -122,7 +122,7 @@
         return actions
 
     def _dies(self, step: Step) -> bool:
-        return self.deaths.takes(self.me.name, step)
+        return self.deaths.takes(self.local_peer.name, step)
 
 
 def mortal_fleet(size: int, seed: int, loss: float = 0.0) -> tuple[Fleet, Deaths]:
--- a/benchmarks/distribution/net.py
+++ b/benchmarks/distribution/net.py
@@ -108,7 +108,7 @@
         """`recorded`: reports are read off the wire into the history."""
         self.random, self.now = random.Random(seed), 0.0
         self.loss, self.repeat, self.reorder = loss, repeat, reorder
-        self.terms, self.kind = terms or ProtocolSettings(), kind
+        self.settings, self.kind = terms or ProtocolSettings(), kind
         self.death_seen, self.join_seen, self.recorded = death_seen, join_seen, recorded
         self.history = History()
         self.register: Stamp = NO_VERSION
@@ -251,7 +251,7 @@
         self.history.add(InForce(self.now, node.name, node.in_force.number, node.in_force.digest, started=True))
         seed = self.random.getrandbits(32)
         me = _peer(node, alive=True)
-        node.machine = self.kind(FLEET, me, self.voters, self.terms, self.now, seed, held)
+        node.machine = self.kind(FLEET, me, self.voters, self.settings, self.now, seed, held)
         node.armed = inf
         self._carry(node, node.machine.on_view(node.view.values(), self.now))
         if node.deposits and (latest := max(node.deposits)) == self.register.number:
@@ -330,7 +330,7 @@
             elif isinstance(action, Apply):
                 self._apply(node, action)
             elif isinstance(action, LogEvent):
-                node.noted[action.what] += 1
+                node.noted[action.kind] += 1
         self._arm(node)
 
     def _send(self, node: Node, action: Send) -> None:
@@ -360,7 +360,7 @@
             self._carry(node, node.machine.on_datagram(data, sender, self.now))
 
     def _record(self, node: Node, data: bytes) -> None:
-        message = wire.read(data, FLEET, self.terms.datagram).message
+        message = wire.read(data, FLEET, self.settings.max_datagram_bytes).message
         if isinstance(message, wire.Report) and message.applied:
             self.history.add(Reported(self.now, node.name, message.applied))
 
--- a/benchmarks/distribution/real.py
+++ b/benchmarks/distribution/real.py
@@ -318,9 +318,9 @@
     """Have each process report as often as it does where its file names no times; before any starts."""
     for process in rig.processes.values():
         text = process.file.read_text()
-        text = re.sub(r"^sync = .*$", f"sync = {ProtocolSettings().sync}", text, flags=re.MULTILINE)
+        text = re.sub(r"^sync = .*$", f"sync = {ProtocolSettings().report_interval}", text, flags=re.MULTILINE)
         process.file.write_text(
-            re.sub(r"^fresh = .*$", f"fresh = {ProtocolSettings().fresh}", text, flags=re.MULTILINE)
+            re.sub(r"^fresh = .*$", f"fresh = {ProtocolSettings().report_lifetime}", text, flags=re.MULTILINE)
         )
 
 
--- a/benchmarks/distribution/scenarios.py
+++ b/benchmarks/distribution/scenarios.py
@@ -289,7 +289,7 @@
         return [session.random.choice(sorted(fleet.voters))]
     first = fleet.living()[0]
     assert first.machine is not None
-    tree = Tree(first.machine.me, first.view, fleet.voters)
+    tree = Tree(first.machine.local_peer, first.view, fleet.voters)
     relays: dict[str, tuple[Peer, ...]] = tree.region_relays if role == "region relays" else tree.zone_relays
     return [peer.name for peer in relays[session.random.choice(sorted(relays))]]
 
--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -108,10 +108,10 @@
         self.store = VersionStore(folder, "fleet")
         self.applier = Applier(self.store, plan_of(own))
         self.plan = self.applier.start()
-        self.applier.force = self.force
+        self.applier.activate = self.activate
         self.hosts: list[str] | None = None
 
-    def force(self, found: config.Plan, hosts: Sequence[HostLine] | None) -> None:
+    def activate(self, found: config.Plan, hosts: Sequence[HostLine] | None) -> None:
         self.plan = found
         if hosts is not None:
             self.hosts = [line.entry.worker.decode() for line in hosts]
@@ -127,7 +127,7 @@
 def test_a_version_is_durable_before_it_is_in_force_and_only_then_reported(tmp_path: Path) -> None:
     process = Process(tmp_path)
     seen = []
-    process.applier.force = lambda plan, hosts: seen.append(process.store.read())
+    process.applier.activate = lambda plan, hosts: seen.append(process.store.read())
     process.apply(3, rule("new"))
     assert seen == [version(3, rule("new"))] and process.applier.in_force == StoredVersion(*version(3, rule("new")))
 
@@ -436,7 +436,7 @@
 def test_metrics_tell_the_versions_and_what_the_machine_counts() -> None:
     held = version(4, rule("one"))
     me = Peer("me", ("127.0.0.1", 1), "a", 1, True)
-    machine = Distributor("fleet", me, frozenset(), ProtocolSettings(), 0.0, held=held)
+    machine = Distributor("fleet", me, frozenset(), ProtocolSettings(), 0.0, stored=held)
     machine.counts["offers"] += 3
     samples = {
         (sample.name, *sample.labels.values()): sample.value
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -256,7 +256,11 @@
 
 def test_the_supplied_file_follows_the_configuration_and_its_faults_are_named(tmp_path: Path) -> None:
     plan = config.operator_file(str(EXAMPLE), 0.0).distribution
-    assert plan is not None and plan.folder == "configuration" and plan.terms == ProtocolSettings(sync=3.0, fresh=7.5)
+    assert (
+        plan is not None
+        and plan.folder == "configuration"
+        and plan.settings == ProtocolSettings(report_interval=3.0, report_lifetime=7.5)
+    )
     assert config.operator_file(str(ROOT / "deploy" / "fleet.toml"), 0.0).distribution is None
     text = EXAMPLE.read_text()
     for old, new, fault in (
@@ -271,7 +275,7 @@
     bare = tmp_path / "bare.toml"
     bare.write_text(text.replace("sync = 3.0", "").replace("fresh = 7.5", ""))
     found = config.operator_file(str(bare), 0.0).distribution
-    assert found is not None and found.terms == ProtocolSettings()
+    assert found is not None and found.settings == ProtocolSettings()
 
 
 def test_members_on_one_machine_have_folders_of_their_own(tmp_path: Path) -> None:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -36,7 +36,7 @@
 from thistleshore.distribution.transfer import Fetching, Source, Taken
 from thistleshore.distribution.tree import Tree
 
-TERMS = ProtocolSettings()
+SETTINGS = ProtocolSettings()
 SPREAD_MOST = 18.0  # s from agreed to in force everywhere, whatever single fault there is
 VOTERS = frozenset({"a"})
 ME = Peer("b", ("127.0.0.1", 2), "r/z", 1, True)
@@ -52,9 +52,9 @@
     return Stamp(register, number, more.pop("digest", digest_of(body)), more.pop("size", len(body)), **more)
 
 
-def machine(held: tuple[Stamp, bytes] | None = None, kind: type[Distributor] = Distributor) -> Distributor:
+def machine(stored: tuple[Stamp, bytes] | None = None, kind: type[Distributor] = Distributor) -> Distributor:
     """A member beside one voter."""
-    made = kind(FLEET, ME, VOTERS, TERMS, 0.0, held=held)
+    made = kind(FLEET, ME, VOTERS, SETTINGS, 0.0, stored=stored)
     made.on_view([OTHER], 0.0)
     return made
 
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("kind", ["altered", "too many", "too long", "another encoding", "lacking", "silent"])
 def test_another_source_is_asked_after_one_that_is_of_no_use(kind: str) -> None:
-    one = Distributor(FLEET, ME, frozenset({"a", "c"}), TERMS, 0.0, held=(stamp_of(1, body_of(1)), body_of(1)))
+    one = Distributor(FLEET, ME, frozenset({"a", "c"}), SETTINGS, 0.0, stored=(stamp_of(1, body_of(1)), body_of(1)))
     third = Peer("c", ("127.0.0.1", 3), "s/z", 1, True)
     one.on_view([OTHER, third], 0.0)
     body = body_of(2, 2000)
@@ -234,7 +234,7 @@
             "another encoding": wire.Part(fetch.transfer, 9, len(data), 1, 0, data),
             "lacking": wire.BodyUnavailable(fetch.transfer),
         }
-        one.terms = one.terms._replace(datagram=60_000)
+        one.settings = one.settings._replace(max_datagram_bytes=60_000)
         found = one.on_datagram(wire.write(FLEET, "a", 1, wrong[kind]), OTHER.address, 0.8)
     sent = [
         (action.address, wire.read(action.data, FLEET, 1200).message) for action in found if isinstance(action, Send)
@@ -266,14 +266,16 @@
 
 
 def test_a_source_that_falls_silent_is_asked_ever_more_seldom() -> None:
-    fetching = Fetching(stamp_of(1, b"x" * 5000), NO_VERSION, [Source("a", ("h", 1))], TERMS, 1)
+    fetching = Fetching(stamp_of(1, b"x" * 5000), NO_VERSION, [Source("a", ("h", 1))], SETTINGS, 1)
     fetching.request(0.0)
     assert fetching.on_part(wire.Part(1, 0, 5000, 20, 0, b"x" * 250), 0.001) is Taken.MORE
     asked = []
     while fetching.on_late(fetching.due):
         asked.append(fetching.due)
         fetching.request_again(fetching.due)
-    assert 3 <= len(asked) <= 7 and asked[0] < 0.05 and fetching.due == pytest.approx(0.001 + 2 * TERMS.answer)
+    assert (
+        3 <= len(asked) <= 7 and asked[0] < 0.05 and fetching.due == pytest.approx(0.001 + 2 * SETTINGS.answer_timeout)
+    )
 
 
 def sent_in(one: Distributor, until: float, kind: type[wire.Message]) -> list[tuple[float, Address]]:
@@ -296,19 +298,20 @@
     silent.on_view([OTHER._replace(alive=False)], 0.5)
     assert sent_in(silent, 5.0, wire.Offer) == []
     silent.on_view([OTHER], 5.0)
-    assert len(sent_in(silent, 30.0, wire.Offer)) == TERMS.retries
+    assert len(sent_in(silent, 30.0, wire.Offer)) == SETTINGS.retries
 
 
 def test_a_report_without_an_answer_goes_to_the_next_and_then_waits() -> None:
-    one = Distributor(FLEET, ME, frozenset({"a", "c"}), TERMS, 0.0, seed=1)
+    one = Distributor(FLEET, ME, frozenset({"a", "c"}), SETTINGS, 0.0, seed=1)
     one.on_view([OTHER, Peer("c", ("127.0.0.1", 3), "s/z", 1, True)], 0.0)
     reports = sent_in(one, 120.0, wire.Report)
     rounds = list(zip(reports[::2], reports[1::2], strict=False))
     assert all(
-        first[1] != second[1] and second[0] - first[0] == pytest.approx(TERMS.answer) for first, second in rounds
+        first[1] != second[1] and second[0] - first[0] == pytest.approx(SETTINGS.answer_timeout)
+        for first, second in rounds
     )
     gaps = {round(later[0][0] - earlier[1][0], 2) for earlier, later in zip(rounds, rounds[1:], strict=False)}
-    assert 1.5 < min(gaps) < 3.0 < 5.0 < max(gaps) < TERMS.max_wait + 2 * TERMS.answer
+    assert 1.5 < min(gaps) < 3.0 < 5.0 < max(gaps) < SETTINGS.max_wait + 2 * SETTINGS.answer_timeout
     assert (
         one.on_datagram(wire.write(FLEET, "b", 1, wire.ReportsRequest()), ME.address, 120.0) == []
         and one.counts["own"] == 1
@@ -317,7 +320,7 @@
 
 def test_a_voter_that_is_no_relay_reports_to_the_relays_of_its_zone_too() -> None:
     peers = [Peer(f"p{n}", ("127.0.0.1", n + 9), "r/z", 1, True) for n in range(20)]
-    one = Distributor(FLEET, ME, frozenset({"b", "c"}), TERMS, 0.0)
+    one = Distributor(FLEET, ME, frozenset({"b", "c"}), SETTINGS, 0.0)
     one.on_view([*peers, Peer("c", ("127.0.0.1", 3), "s/z", 1, True)], 0.0)
     relays = Tree(ME, {peer.name: peer for peer in peers}, frozenset({"b"})).own_zone_relays
     assert len(relays) == RELAYS
@@ -327,7 +330,7 @@
 
 def test_a_relay_with_many_transfers_says_when_to_come_back() -> None:
     body = random.Random(1).randbytes(50_000)
-    one = Distributor(FLEET, ME, VOTERS, TERMS._replace(transfers=1), 0.0, held=(stamp_of(1, body), body))
+    one = Distributor(FLEET, ME, VOTERS, SETTINGS._replace(max_transfers=1), 0.0, stored=(stamp_of(1, body), body))
     one.on_view([OTHER, OTHER._replace(name="c", address=("127.0.0.1", 3))], 0.0)
     fetch = wire.Fetch(9, 1, digest_of(body), 0, "", (0, 1, 2))
     assert len(tell(one, fetch)) == 3
@@ -356,7 +359,7 @@
 def test_all_fresh_reports_are_told_in_datagrams_that_fit() -> None:
     peers = [Peer(f"member-{n:04}", ("127.0.0.1", n + 9), "r/z", n, True) for n in range(400)]
     held = stamp_of(5, body_of(5)), body_of(5)
-    relay, asker = machine(held), Distributor(FLEET, OTHER, VOTERS, TERMS, 0.0, held=held)
+    relay, asker = machine(held), Distributor(FLEET, OTHER, VOTERS, SETTINGS, 0.0, stored=held)
     relay.on_view([OTHER, *peers], 0.0)
     asker.on_view([ME, *peers], 0.0)
     for n, peer in enumerate(peers):
@@ -364,12 +367,12 @@
         relay.on_datagram(wire.write(FLEET, peer.name, peer.generation, report), peer.address, n / 1000)
     told = relay.on_datagram(wire.write(FLEET, "a", 1, wire.ReportsRequest()), OTHER.address, 1.0)
     for action in told:
-        assert isinstance(action, Send) and len(action.data) <= TERMS.datagram
+        assert isinstance(action, Send) and len(action.data) <= SETTINGS.max_datagram_bytes
         asker.on_datagram(action.data, ME.address, 1.0)
     (zone,) = asker.spread(5, 1.0).zones
     assert (zone.members, zone.applied, len(zone.behind), zone.unknown) == (402, 202, 200, ())
     assert sum(row.refused == 5 and len(row.reason) == 100 for row in zone.behind) == 40
-    (later,) = asker.spread(5, TERMS.fresh + 0.2).zones
+    (later,) = asker.spread(5, SETTINGS.report_lifetime + 0.2).zones
     assert 195 < len(later.unknown) < 205, "a report is as old as it was where it was heard"
 
 
@@ -405,7 +408,7 @@
     tell(one, report(5), 1.0)
     tell(one, report(4), 1.1)
     assert other_at(1.1) == "applied", "a report that was overtaken"
-    assert other_at(1.0 + TERMS.fresh + 0.1) == "unknown", "stale"
+    assert other_at(1.0 + SETTINGS.report_lifetime + 0.1) == "unknown", "stale"
     one.on_view([OTHER._replace(alive=False)], 1.2)
     assert other_at(1.2) == "unknown", "dead by the view"
     one.on_view([OTHER._replace(generation=2)], 1.3)
@@ -433,7 +436,7 @@
     report = wire.Report(1, REGISTER, 5, 0, "", NO_VERSION)
     last = one.due
     one.on_time(last)
-    resumed = last + TERMS.fresh + 1.0
+    resumed = last + SETTINGS.report_lifetime + 1.0
     one.on_time(resumed)
     tell(one, report, resumed + 0.01)
     assert one.spread(5, resumed + 0.02).zones[0].unknown == (OTHER.name,)
@@ -496,7 +499,7 @@
 
 @pytest.mark.parametrize(("loss", "transfers"), [(0.02, 3), (0.1, 16)])
 def test_a_great_body_with_nothing_in_common_comes_by_parts(loss: float, transfers: int) -> None:
-    fleet = world(45, seed=2, loss=loss, terms=TERMS._replace(transfers=transfers))
+    fleet = world(45, seed=2, loss=loss, terms=SETTINGS._replace(max_transfers=transfers))
     fleet.run(4.0)
     body = random.Random(3).randbytes(MAX_BODY_BYTES)
     assert fleet.push(body) == 1
--- a/tests/test_rig_configuration.py
+++ b/tests/test_rig_configuration.py
@@ -311,7 +311,7 @@
 def test_a_report_grows_old_however_often_instances_ask_one_another() -> None:
     """Two that ask each other all the time, each answer 0.3 s on its way, do not keep a dead member's report fresh."""
     peers = {name: Peer(name, ("127.0.0.1", number), "east/a", 1, True) for number, name in enumerate("abc", 1)}
-    terms = ProtocolSettings(fresh=2.0)
+    terms = ProtocolSettings(report_lifetime=2.0)
     pair = [Reports(terms), Reports(terms)]
     for reports in pair:
         reports.on_view(peers)
--- a/thistleshore/config/operator.py
+++ b/thistleshore/config/operator.py
@@ -470,10 +470,13 @@
         usual = DistributionSettings()
         with Section(tables["configuration"], "fleet.configuration", self.faults) as part:
             folder = part.text("dir")
-            sync, fresh = part.number("sync", usual.sync, 0.05), part.number("fresh", usual.fresh, 0.1)
+            sync, fresh = (
+                part.number("sync", usual.report_interval, 0.05),
+                part.number("fresh", usual.report_lifetime, 0.1),
+            )
             if fresh < 2 * sync:
                 part.fault("fresh", "at least twice `sync`: one lost report must not make an instance unknown")
-        return DistributionPlan(folder, usual._replace(sync=sync, fresh=fresh))
+        return DistributionPlan(folder, usual._replace(report_interval=sync, report_lifetime=fresh))
 
     def _keep(self, restart: str) -> KeepPlan | None:
         """`[keep]`."""
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -55,7 +55,7 @@
     hosts: bool  # whether the body says which upstream hosts there are
 
 
-Force = Callable[[Plan, Sequence[HostLine] | None], None]
+ActivatePlan = Callable[[Plan, Sequence[HostLine] | None], None]
 
 
 class Applier:
@@ -65,7 +65,9 @@
         """`file` is the plan of the own file alone."""
         self.store = store
         self.in_force: StoredVersion | None = None
-        self.force: Force | None = None  # puts a plan, and hosts where they are told, in force in the running process
+        self.activate: ActivatePlan | None = (
+            None  # puts a plan, and hosts where they are told, in force in the running process
+        )
         self.on_file_reloaded: Callable[[], None] | None = None  # called when another reading of the file is taken
         self._file = file  # as it was last put in force
         self._keeps_shares: bool | None = None  # what the running process cannot change; None while it starts
@@ -172,8 +174,8 @@
             raise NotDurable(str(problem)) from None
 
     def _put_in_force(self, checked: Checked) -> None:
-        assert self.force is not None
+        assert self.activate is not None
         # A version without hosts gives the file's back, where the one before had some.
         tell_hosts = checked.hosts or self.hosts_from_version
-        self.force(checked.plan, checked.plan.known if tell_hosts else None)
+        self.activate(checked.plan, checked.plan.known if tell_hosts else None)
         self.hosts_from_version = checked.hosts
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -71,7 +71,7 @@
 class Distribution:
     """Feeds the machine, and carries out what it asks for."""
 
-    def __init__(self, terms: ProtocolSettings, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
+    def __init__(self, settings: ProtocolSettings, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
         self.fleet, self.releases, self.applier = fleet, releases, applier
         held = applier.in_force
         self.serving_from = "disk" if held is not None else "file"
@@ -79,7 +79,7 @@
             fleet.plan.name,
             peer_of(fleet.machine.me),
             frozenset(releases.plan.voters),
-            terms,
+            settings,
             trio.current_time(),
             int.from_bytes(os.urandom(8), "big"),
             None if held is None else (held.stamp, held.body),
@@ -93,8 +93,8 @@
         self._last_refused: Apply | None = None
         self._disk_failed = False  # what was refused may be taken once the disk has room
         self._aside = Aside()
-        releases.on_agreed = self.on_value
-        applier.on_file_reloaded = self.on_file
+        releases.on_agreed = self.on_register_value
+        applier.on_file_reloaded = self.on_file_reloaded
 
     # -- what others tell it; none of these waits
 
@@ -105,7 +105,7 @@
         else:
             self._events.send_nowait(Datagram(data, sender))
 
-    def on_value(self, value: Value) -> None:
+    def on_register_value(self, value: Value) -> None:
         """A majority of the voters holds this value of the register."""
         stamp = agreement.stamp(value, self.releases.register)
         if stamp == self.machine.applied:
@@ -118,7 +118,7 @@
         """A push of this instance is agreed: it is offered at once."""
         self._events.send_nowait(Agreed(stamp, body))
 
-    def on_file(self) -> None:
+    def on_file_reloaded(self) -> None:
         """The instance's own file was read again: what did not go with the former one may go with it."""
         if self._last_refused is not None:
             self._applies.send_nowait(self._last_refused)
@@ -192,7 +192,7 @@
             case Datagram(data, sender):
                 return machine.on_datagram(data, sender, now)
             case ViewChanged():
-                machine.me = peer_of(self.fleet.machine.me)
+                machine.local_peer = peer_of(self.fleet.machine.me)
                 return machine.on_view(peers_of(self.fleet), now)
             case Agreed(stamp, body):
                 return machine.on_agreed(stamp, body, now)
@@ -210,7 +210,7 @@
             elif isinstance(action, Apply):
                 self._applies.send_nowait(action)
             else:
-                log.info("configuration: %s %s", action.what, action.told)
+                log.info("configuration: %s %s", action.kind, action.detail)
 
     async def _watch_view(self) -> None:
         """Tell the machine of a changed view; of many changes at once, once."""
--- a/thistleshore/distribution/machine.py
+++ b/thistleshore/distribution/machine.py
@@ -43,7 +43,7 @@
 from thistleshore.distribution.transfer import Fetching, Serving, Source, Taken
 from thistleshore.distribution.tree import Tree
 
-JITTER_LEAST, JITTER_SPAN = 0.75, 0.5  # of `sync`: times between reports go from 0.75 to 1.25 of it
+JITTER_LEAST, JITTER_SPAN = 0.75, 0.5  # of `report_interval`: times between reports go from 0.75 to 1.25 of it
 WAIT_LEAST = 0.25  # of `max_wait`, for one whose relays did not answer
 SOURCES_MOST = 4  # of those that told of the newest version
 TRANSFER_BITS = 48
@@ -54,32 +54,34 @@
 class Distributor:
     """What one instance knows of agreed versions, and how it passes them on.
 
-    The owner may replace `me` (another life, another address) before it calls `on_view`.
+    The owner may replace `local_peer` (another life, another address) before it calls `on_view`.
     """
 
     def __init__(
         self,
         fleet: str,
-        me: Peer,
+        local_peer: Peer,
         voters: frozenset[str],
-        terms: ProtocolSettings,
+        settings: ProtocolSettings,
         now: float,
         seed: int = 0,
-        held: tuple[Stamp, bytes] | None = None,
+        stored: tuple[Stamp, bytes] | None = None,
     ) -> None:
-        """`held` is the version that is in force here, from the disk."""
-        self.fleet, self.me, self.voters, self.terms = fleet, me, voters, terms
-        self.applied: Stamp = held[0] if held is not None else NO_VERSION
+        """`stored` is the version that is in force here, from the disk."""
+        self.fleet, self.local_peer, self.voters, self.settings = fleet, local_peer, voters, settings
+        self.applied: Stamp = stored[0] if stored is not None else NO_VERSION
         self.known: Stamp = self.applied
         self.counts: Counter[str] = Counter()
-        self._random = randoms.Random(f"{seed} {me.name} {me.generation}")  # never in step with another instance
+        self._random = randoms.Random(
+            f"{seed} {local_peer.name} {local_peer.generation}"
+        )  # never in step with another instance
         self._peers: dict[str, Peer] = {}
-        self._tree = Tree(me, {}, voters)
-        self._bodies = Bodies(terms.kept)
-        self._offers = Offers(terms)
-        self._reports = Reports(terms)
-        self._room = wire.room(fleet, me.name, terms.datagram)
-        self._serving = Serving(self._bodies, terms, self._room)
+        self._tree = Tree(local_peer, {}, voters)
+        self._bodies = Bodies(settings.retained_bodies)
+        self._offers = Offers(settings)
+        self._reports = Reports(settings)
+        self._room = wire.room(fleet, local_peer.name, settings.max_datagram_bytes)
+        self._serving = Serving(self._bodies, settings, self._room)
         self._applying: Stamp | None = None
         self._refused, self._reason = 0, ""
         self._agreed: Stamp = self.applied  # the newest by the word of the register itself
@@ -87,16 +89,16 @@
         self._fetching: Fetching | None = None
         self._fetch_again_at = inf  # after all sources were of no use
         self._report_number = 0
-        self._report_at = now + terms.sync * self._random.random()
+        self._report_at = now + settings.report_interval * self._random.random()
         self._unasked: Iterator[Peer] = iter(())  # parents for the report, where those before do not answer
         self._answer_due = inf
         self._noted: dict[str, Stamp] = {}  # the last version of each kind that cannot be put in force here
         self._last_call = now
         self._backlog_since, self._backlog_until = now, -inf  # after a stop: what is read came in that time
         self._out: list[Action] = []
-        if held is not None:
-            self._bodies.add(*held, in_force=held[0].number)
-            self._offers.stamp = held[0]
+        if stored is not None:
+            self._bodies.add(*stored, in_force=stored[0].number)
+            self._offers.stamp = stored[0]
         self.due: float = inf
         self._done()
 
@@ -105,8 +107,8 @@
     def on_view(self, peers: Iterable[Peer], now: float) -> list[Action]:
         """The other members have changed; `peers` are all that the view knows, dead ones too until forgotten."""
         children = {peer.name for peer in self._tree.children}
-        self._peers = {peer.name: peer for peer in peers if peer.name != self.me.name}
-        self._tree = Tree(self.me, self._peers, self.voters)
+        self._peers = {peer.name: peer for peer in peers if peer.name != self.local_peer.name}
+        self._tree = Tree(self.local_peer, self._peers, self.voters)
         self._reports.on_view(self._peers)
         self._offers.keep_only(self._tree.children)
         if self._bodies.newest.number:
@@ -140,11 +142,11 @@
         self.counts["heard"] += 1
         self.counts["bytes_heard"] += len(data)
         try:
-            envelope = wire.read(data, self.fleet, self.terms.datagram)
+            envelope = wire.read(data, self.fleet, self.settings.max_datagram_bytes)
         except wire.InvalidDatagram as problem:
             self.counts[str(problem)] += 1
             return self._done()
-        if envelope.sender == self.me.name:
+        if envelope.sender == self.local_peer.name:
             self.counts["own"] += 1
             return self._done()
         peer = self._peers.get(envelope.sender)
@@ -193,13 +195,13 @@
         """Ask the zone relays of all zones for the fresh reports that they hold."""
         for relays in self._tree.zone_relays.values():
             for relay in relays:
-                if relay.name != self.me.name:
+                if relay.name != self.local_peer.name:
                     self._send(relay.address, wire.ReportsRequest())
         return self._done()
 
     def spread(self, number: int, now: float) -> Spread:
         """How far the fleet is with a version, by the fresh reports that are known here now."""
-        return self._reports.count(number, self.known.register, self._own_report(now), self.me, now)
+        return self._reports.count(number, self.known.register, self._own_report(now), self.local_peer, now)
 
     def body(self, number: int) -> bytes | None:
         """The body of a version that is kept here."""
@@ -370,7 +372,9 @@
     # -- reports -----------------------------------------------------------------------------------
 
     def _own_report(self, now: float) -> ReceivedReport:
-        row = MemberReport(self.me.name, self.me.generation, self.applied.number, self._refused, self._reason)
+        row = MemberReport(
+            self.local_peer.name, self.local_peer.generation, self.applied.number, self._refused, self._reason
+        )
         return ReceivedReport(row, self.applied.register, now)
 
     def _report(self, now: float, everywhere: bool) -> None:
@@ -387,7 +391,7 @@
         """Report to the next parent, and to whom that was."""
         parent = next(self._unasked, None)
         if parent is not None:
-            self._answer_due = now + self.terms.answer
+            self._answer_due = now + self.settings.answer_timeout
             self._report_at = inf
             self._send_report(parent, self._report_number)
         else:
@@ -407,10 +411,10 @@
 
     def _wait_time(self) -> float:
         """For one that nobody answered: by chance, so that many in the same case do not come at once."""
-        return self.terms.max_wait * (WAIT_LEAST + (1.0 - WAIT_LEAST) * self._random.random())
+        return self.settings.max_wait * (WAIT_LEAST + (1.0 - WAIT_LEAST) * self._random.random())
 
     def _sync_time(self) -> float:
-        return self.terms.sync * (JITTER_LEAST + JITTER_SPAN * self._random.random())
+        return self.settings.report_interval * (JITTER_LEAST + JITTER_SPAN * self._random.random())
 
     # -- fetching ----------------------------------------------------------------------------------
 
@@ -428,7 +432,7 @@
             return
         sources = [*self._sources, *(Source(peer.name, peer.address) for peer in self._shuffled_parents())]
         number = self._random.getrandbits(TRANSFER_BITS)
-        self._fetching = Fetching(self.known, self._bodies.newest, sources, self.terms, number)
+        self._fetching = Fetching(self.known, self._bodies.newest, sources, self.settings, number)
         self._request(self._fetching, now)
 
     def _request(self, fetching: Fetching, now: float) -> None:
@@ -505,12 +509,12 @@
         self.counts["mismatch"] += 1
         self._out.append(LogEvent("mismatch", source))
 
-    def _note(self, what: str, stamp: Stamp, told: str = "") -> None:
+    def _note(self, kind: str, stamp: Stamp, detail: str = "") -> None:
         text = f"version {stamp.number} of register {stamp.register}"
-        self._out.append(LogEvent(what, f"{text}: {told}" if told else text))
+        self._out.append(LogEvent(kind, f"{text}: {detail}" if detail else text))
 
     def _send(self, address: Address, message: wire.Message) -> None:
-        data = wire.write(self.fleet, self.me.name, self.me.generation, message)
+        data = wire.write(self.fleet, self.local_peer.name, self.local_peer.generation, message)
         self.counts["sent"] += 1
         self.counts["bytes"] += len(data)
         self._out.append(Send(address, data))
--- a/thistleshore/distribution/model.py
+++ b/thistleshore/distribution/model.py
@@ -73,15 +73,15 @@
 class ProtocolSettings(NamedTuple):
     """The protocol's named times and sizes; times in seconds."""
 
-    sync: float = 3.0  # between two reports of an instance to its relays
-    fresh: float = 7.5  # after which a report no longer counts
-    answer: float = 0.4  # for an answer, before another relay is asked
+    report_interval: float = 3.0  # between two reports of an instance to its relays
+    report_lifetime: float = 7.5  # after which a report no longer counts
+    answer_timeout: float = 0.4  # for an answer, before another relay is asked
     retries: int = 4  # that an offer is sent again to one that has not acknowledged it
     max_wait: float = 6.0  # the longest wait by chance of an instance whose relays did not answer
-    datagram: int = 1200  # bytes
+    max_datagram_bytes: int = 1200  # bytes
     window: int = 8  # parts of a body that are asked for at once
-    transfers: int = 16  # bodies that a relay sends at the same time; others are told when to come back
-    kept: int = 4  # bodies that are kept in the memory, for differences
+    max_transfers: int = 16  # bodies that a relay sends at the same time; others are told when to come back
+    retained_bodies: int = 4  # bodies that are kept in the memory, for differences
 
 
 # -- actions: what the machine asks its carrier for
@@ -104,8 +104,8 @@
 class LogEvent(NamedTuple):
     """An event for the log and the counters."""
 
-    what: str  # one word, e.g. offered, fetched, spoilt, other_register, too_large
-    told: str = ""
+    kind: str  # one word, e.g. offered, fetched, spoilt, other_register, too_large
+    detail: str = ""
 
 
 Action = Send | Apply | LogEvent
--- a/thistleshore/distribution/offers.py
+++ b/thistleshore/distribution/offers.py
@@ -11,8 +11,8 @@
 class Offers:
     """Who has not yet acknowledged the version that is offered."""
 
-    def __init__(self, terms: ProtocolSettings) -> None:
-        self._terms = terms
+    def __init__(self, settings: ProtocolSettings) -> None:
+        self._settings = settings
         self._waiting: dict[str, Peer] = {}
         self._repeated = 0
         self.stamp: Stamp = NO_VERSION
@@ -49,15 +49,15 @@
         """Whom to send the offer to again."""
         if now < self.due:
             return []
-        if self._repeated >= self._terms.retries:
+        if self._repeated >= self._settings.retries:
             self._waiting.clear()
             self.due = inf
             return []
         self._repeated += 1
-        self.due = now + self._terms.answer * 2**self._repeated
+        self.due = now + self._settings.answer_timeout * 2**self._repeated
         return list(self._waiting.values())
 
     def _restart(self, now: float) -> list[Peer]:
         self._repeated = 0
-        self.due = now + self._terms.answer if self._waiting else inf
+        self.due = now + self._settings.answer_timeout if self._waiting else inf
         return list(self._waiting.values())
--- a/thistleshore/distribution/plan.py
+++ b/thistleshore/distribution/plan.py
@@ -12,4 +12,4 @@
     """How this instance follows the configuration that its fleet agrees on."""
 
     folder: str  # of the durable version
-    terms: ProtocolSettings
+    settings: ProtocolSettings
--- a/thistleshore/distribution/reports.py
+++ b/thistleshore/distribution/reports.py
@@ -26,7 +26,7 @@
 
     row: MemberReport
     register: int  # that of `row.applied`
-    at: float
+    received_at: float
 
 
 def token_of(name: str, generation: int) -> int:
@@ -37,8 +37,8 @@
 class Reports:
     """The last report of each member of the view."""
 
-    def __init__(self, terms: ProtocolSettings) -> None:
-        self._terms = terms
+    def __init__(self, settings: ProtocolSettings) -> None:
+        self._settings = settings
         self._peers: Mapping[str, Peer] = {}
         self._heard: dict[str, ReceivedReport] = {}  # from the members themselves
         # From others.  Not told on: with each hop a report grows younger by its time on the way, and where many ask one
@@ -95,9 +95,9 @@
         messages += [ReportBatch(0, 0, b"", rows) for rows in _filled(whole, room)]
         return messages
 
-    def count(self, number: int, register: int, own: ReceivedReport, me: Peer, now: float) -> Spread:
+    def count(self, number: int, register: int, own: ReceivedReport, local_peer: Peer, now: float) -> Spread:
         """How far each zone is with a version of that register."""
-        by_zone: dict[str, list[Peer]] = {me.zone: [me]}
+        by_zone: dict[str, list[Peer]] = {local_peer.zone: [local_peer]}
         for peer in self._peers.values():
             by_zone.setdefault(peer.zone, []).append(peer)
         zones = []
@@ -136,7 +136,7 @@
         return told if _supersedes(told, heard) else heard
 
     def _is_fresh(self, heard: ReceivedReport, now: float) -> bool:
-        return now - heard.at <= self._terms.fresh
+        return now - heard.received_at <= self._settings.report_lifetime
 
     def _tokens(self) -> dict[int, Peer]:
         if self._by_token is None:
@@ -148,11 +148,11 @@
     """Whether a report is later than another of the same member."""
     if heard.row.generation != kept.row.generation:
         return heard.row.generation > kept.row.generation
-    return heard.row.applied >= kept.row.applied and heard.at >= kept.at
+    return heard.row.applied >= kept.row.applied and heard.received_at >= kept.received_at
 
 
 def _age(heard: ReceivedReport, now: float) -> int:
-    return min(AGE_MOST, max(0, round((now - heard.at) * 1000)))
+    return min(AGE_MOST, max(0, round((now - heard.received_at) * 1000)))
 
 
 def _chunks(pieces: Iterable[bytes], most: int) -> Iterator[bytes]:
--- a/thistleshore/distribution/transfer.py
+++ b/thistleshore/distribution/transfer.py
@@ -1,7 +1,7 @@
 """Bodies on their way: one fetch of this instance's own, and the transfers that it serves to others.
 
 A fetch asks one source for parts, with a window of them on their way at any time.  What does not come in time is asked
-for again: within `answer` at first, and by the round trip once that was measured.  When the source is silent, lacks the
+for again: within `answer_timeout` at first, and by the round trip once measured.  When the source is silent, lacks the
 body or sends something else, the next source is asked from the first part on.
 """
 
@@ -46,13 +46,13 @@
     """The body of one version on its way here."""
 
     def __init__(
-        self, stamp: Stamp, base: Stamp, sources: Iterable[Source], terms: ProtocolSettings, number: int
+        self, stamp: Stamp, base: Stamp, sources: Iterable[Source], settings: ProtocolSettings, number: int
     ) -> None:
         """`number` is that of the first transfer; each source gets another."""
         self.stamp, self.base = stamp, base
         self.transfer = number
         self.due = 0.0  # when the source is late
-        self._terms = terms
+        self._settings = settings
         self._sources = list(dict.fromkeys(sources))
         self._forget_parts()
 
@@ -65,7 +65,7 @@
         self._next = 0  # the first part that was never asked for
         self._timed: tuple[int, float] | None = None  # a part, and when it was asked for, once
         self._trip = 0.0  # s of a round trip; 0: not measured
-        self._patience = self._terms.answer  # s after which parts are asked for again
+        self._patience = self._settings.answer_timeout  # s after which parts are asked for again
         self._give_up_at = 0.0
 
     @property
@@ -103,9 +103,9 @@
     def request(self, now: float) -> wire.Fetch:
         """What to send to the source now: a request for the next parts, as far as the window has room."""
         if self._next == 0:
-            self._give_up_at = now + SILENT_ANSWERS * self._terms.answer
-        count = self._encoding[2] if self._encoding else self._terms.window
-        first, self._next = self._next, min(count, self._next + self._terms.window - len(self._window))
+            self._give_up_at = now + SILENT_ANSWERS * self._settings.answer_timeout
+        count = self._encoding[2] if self._encoding else self._settings.window
+        first, self._next = self._next, min(count, self._next + self._settings.window - len(self._window))
         new = range(first, self._next)
         self._window.update(new)
         if self._timed is None and new:
@@ -119,12 +119,12 @@
 
     def on_late(self, now: float) -> bool:
         """Nothing came in time; whether to ask the same source again."""
-        self._patience = min(2 * self._patience, self._terms.answer)
+        self._patience = min(2 * self._patience, self._settings.answer_timeout)
         return now < self._give_up_at
 
     def on_busy(self, until: float) -> None:
         """The source said when to come back."""
-        self._give_up_at = until + SILENT_ANSWERS * self._terms.answer
+        self._give_up_at = until + SILENT_ANSWERS * self._settings.answer_timeout
         self.due = until
 
     def on_part(self, part: wire.Part, now: float) -> Taken:
@@ -145,7 +145,7 @@
         self._on_sign_of_life(part.index, now)
         if len(self._parts) == part.count:
             return Taken.COMPLETE if self._received == part.size else Taken.UNSOUND
-        room = len(self._window) <= self._terms.window // 2 and self._next < part.count
+        room = len(self._window) <= self._settings.window // 2 and self._next < part.count
         return Taken.WINDOW if room else Taken.MORE
 
     def _on_sign_of_life(self, index: int, now: float) -> None:
@@ -153,8 +153,8 @@
             self._trip = max(now - self._timed[1], TRIP_KEPT * self._trip)
             self._timed = None
         if self._trip:
-            self._patience = min(max(PATIENCE_LEAST, PATIENCE_TRIPS * self._trip), self._terms.answer)
-        self._give_up_at = now + SILENT_ANSWERS * self._terms.answer
+            self._patience = min(max(PATIENCE_LEAST, PATIENCE_TRIPS * self._trip), self._settings.answer_timeout)
+        self._give_up_at = now + SILENT_ANSWERS * self._settings.answer_timeout
         self.due = now + self._patience
 
     def _fetch(self, parts: Iterable[int], now: float) -> wire.Fetch:
@@ -166,9 +166,9 @@
 class Serving:
     """The transfers under way from here to others."""
 
-    def __init__(self, bodies: Bodies, terms: ProtocolSettings, room: int) -> None:
+    def __init__(self, bodies: Bodies, settings: ProtocolSettings, room: int) -> None:
         """`room` is the most bytes of a part."""
-        self._bodies, self._terms, self._room = bodies, terms, room
+        self._bodies, self._settings, self._room = bodies, settings, room
         self._until: dict[str, float] = {}  # of each transfer under way, by who fetches
 
     def answer(self, request: wire.Fetch, sender: str, chance: float, now: float) -> list[wire.Message]:
@@ -178,18 +178,18 @@
         base = request.base if self._bodies.has(request.base, request.base_digest) else 0
         encoding = self._bodies.encoding(request.number, base)
         count = max(1, -(-len(encoding.data) // self._room))
-        indices = [index for index in request.parts[: self._terms.window] if index < count]
+        indices = [index for index in request.parts[: self._settings.window] if index < count]
         if count > 1 and not self._take_slot(sender, indices, count, now):
             return [wire.Busy(request.transfer, self._wait(chance))]
         return [self._part(request.transfer, encoding, count, index) for index in indices]
 
     def _take_slot(self, sender: str, indices: list[int], count: int, now: float) -> bool:
-        if sender not in self._until and len(self._until) >= self._terms.transfers:
+        if sender not in self._until and len(self._until) >= self._settings.max_transfers:
             self._until = {name: until for name, until in self._until.items() if until > now}
-            if len(self._until) >= self._terms.transfers:
+            if len(self._until) >= self._settings.max_transfers:
                 return False
         last = count - 1 in indices
-        seconds = PART_SECONDS * len(indices) if last else SLOT_ANSWERS * self._terms.answer
+        seconds = PART_SECONDS * len(indices) if last else SLOT_ANSWERS * self._settings.answer_timeout
         self._until[sender] = now + seconds
         return True
 
--- a/thistleshore/distribution/tree.py
+++ b/thistleshore/distribution/tree.py
@@ -31,27 +31,27 @@
 class Tree:
     """The tree as one member sees it: `parents` above it, level by level, and `children` below it."""
 
-    def __init__(self, me: Peer, others: Mapping[str, Peer], voters: frozenset[str]) -> None:
-        living = [me, *(peer for peer in others.values() if peer.alive)]
-        self.me = me
+    def __init__(self, local_peer: Peer, others: Mapping[str, Peer], voters: frozenset[str]) -> None:
+        living = [local_peer, *(peer for peer in others.values() if peer.alive)]
+        self.local_peer = local_peer
         self.zone_relays = _zone_relays(living)
         self.region_relays = _region_relays(self.zone_relays)
-        self._voters = _reachable_voters(voters, me, others)
-        self.is_voter = me.name in voters
-        self.is_zone_relay = me in self.zone_relays[me.zone]
-        self.is_region_relay = me in self.region_relays[me.region]
+        self._voters = _reachable_voters(voters, local_peer, others)
+        self.is_voter = local_peer.name in voters
+        self.is_zone_relay = local_peer in self.zone_relays[local_peer.zone]
+        self.is_region_relay = local_peer in self.region_relays[local_peer.region]
         self.parents: tuple[tuple[Peer, ...], ...] = self._parents()
         self.children: tuple[Peer, ...] = self._children(living)
 
     @property
     def own_zone_relays(self) -> tuple[Peer, ...]:
         """The relays of this member's zone, without itself."""
-        return self._without_me(self.zone_relays[self.me.zone])
+        return self._without_me(self.zone_relays[self.local_peer.zone])
 
     def _parents(self) -> tuple[tuple[Peer, ...], ...]:
         levels = [self._voters]
         if not self.is_voter and not self.is_region_relay:
-            levels.insert(0, self._without_me(self.region_relays[self.me.region]))
+            levels.insert(0, self._without_me(self.region_relays[self.local_peer.region]))
             if not self.is_zone_relay:
                 levels.insert(0, self.own_zone_relays)
         return tuple(level for level in levels if level)
@@ -63,14 +63,14 @@
                 found.update((peer.name, peer) for peer in relays)
         if self.is_region_relay:
             for zone, relays in self.zone_relays.items():
-                if region_of(zone) == self.me.region:
+                if region_of(zone) == self.local_peer.region:
                     found.update((peer.name, peer) for peer in relays)
         if self.is_zone_relay:
-            found.update((peer.name, peer) for peer in living if peer.zone == self.me.zone)
+            found.update((peer.name, peer) for peer in living if peer.zone == self.local_peer.zone)
         return self._without_me(found.values())
 
     def _without_me(self, peers: Iterable[Peer]) -> tuple[Peer, ...]:
-        return tuple(peer for peer in peers if peer.name != self.me.name)
+        return tuple(peer for peer in peers if peer.name != self.local_peer.name)
 
 
 def _zone_relays(living: Iterable[Peer]) -> dict[str, tuple[Peer, ...]]:
@@ -87,8 +87,8 @@
     return {region: heaviest(f"region {region}", peers) for region, peers in by_region.items()}
 
 
-def _reachable_voters(voters: frozenset[str], me: Peer, others: Mapping[str, Peer]) -> tuple[Peer, ...]:
+def _reachable_voters(voters: frozenset[str], local_peer: Peer, others: Mapping[str, Peer]) -> tuple[Peer, ...]:
     """The living voters; all known ones where none lives, as the view may be late to see that they are back."""
-    known = [others[name] for name in sorted(voters) if name in others and name != me.name]
+    known = [others[name] for name in sorted(voters) if name in others and name != local_peer.name]
     living = tuple(peer for peer in known if peer.alive)
     return living or tuple(known)
--- a/thistleshore/rig/configuration.py
+++ b/thistleshore/rig/configuration.py
@@ -307,7 +307,7 @@
 def _fresh(rig: Rig) -> float:
     """The s for which a report counts, as the files of the processes have it."""
     file = tomllib.loads(rig.processes[rig.world.names[0]].file.read_text())
-    return float(file["fleet"].get("configuration", {}).get("fresh", ProtocolSettings().fresh))
+    return float(file["fleet"].get("configuration", {}).get("fresh", ProtocolSettings().report_lifetime))
 
 
 def _read(answer: str, kind: type[Read]) -> Read | None:
--- a/thistleshore/wiring/distribution.py
+++ b/thistleshore/wiring/distribution.py
@@ -24,9 +24,9 @@
     """Make this process's part of the distribution, and start it once this process is the member."""
     plan, fleet, releases, follower = components.plan, components.fleet, components.releases, components.follower
     assert plan.distribution is not None and fleet is not None and releases is not None
-    applier.force = follower.adopt
-    terms = plan.distribution.terms._replace(datagram=fleet.plan.terms.datagram)
-    distribution = Distribution(terms, fleet, releases, applier)
+    applier.activate = follower.adopt
+    settings = plan.distribution.settings._replace(max_datagram_bytes=fleet.plan.terms.datagram)
+    distribution = Distribution(settings, fleet, releases, applier)
     components.distribution = distribution
     fleet.on_distribution = distribution.on_datagram
     fleet.configuration_call = ConfigurationCalls(releases, distribution, applier).on_call
