--- a/thistleshore/wiring/distribution.py
+++ b/thistleshore/wiring/distribution.py
@@ -24,15 +24,15 @@
     """Make this process's part of the distribution, and start it once this process is the member."""
     plan, fleet, releases, follower = components.plan, components.fleet, components.releases, components.follower
     assert plan.distribution is not None and fleet is not None and releases is not None
-    applier.force = follower.adopt
-    terms = plan.distribution.terms._replace(datagram=fleet.plan.terms.datagram)
-    distribution = Distribution(terms, fleet, releases, applier)
+    applier.activate = follower.adopt
+    settings = plan.distribution.settings._replace(max_datagram_bytes=fleet.plan.terms.datagram)
+    distribution = Distribution(settings, fleet, releases, applier)
     components.distribution = distribution
     fleet.on_distribution = distribution.on_datagram
     fleet.configuration_call = ConfigurationCalls(releases, distribution, applier).on_call
     if components.handover is not None:
         components.handover.distribution = distribution
-    if components.initial.inherited is not None and applier.hosts_told:
+    if components.initial.inherited is not None and applier.hosts_from_version:
         # The hosts of the process before, which the broker has been told, may be those of an earlier version.
         components.broker.inbox.send_nowait(HostListReceived(ListKind.FULL, plan.known))
     components.start_as_member(distribution.run)
