--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -148,7 +148,7 @@
     """Whoever asks may go out, however many are: `limited`."""
     from thistleshore.releases import places
 
-    places._within = lambda *args: None
+    places._limit_refusal = lambda *args: None
 
 
 def uncounted_bodies() -> None:
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -60,7 +60,7 @@
 
 
 def test_a_plan_is_read_or_its_fault_is_named() -> None:
-    assert waves.read({"version": {"name": "v2"}, "waves": [1, "20%"]}).waves == (1, "20%")
+    assert waves.read_plan({"version": {"name": "v2"}, "waves": [1, "20%"]}).waves == (1, "20%")
     fine = {"version": {"name": "v"}}
     for tables, fault in (
         ({}, "version"),
@@ -72,7 +72,7 @@
         ({**fine, "error": 0.9}, "error"),
     ):
         with pytest.raises(waves.PlanError, match=fault):
-            waves.read(tables)
+            waves.read_plan(tables)
 
 
 def test_nothing_goes_out_after_a_halt_and_undo_goes_the_newest_way_back() -> None:
@@ -138,7 +138,7 @@
             count = (row[0], row[1], row[0] - row[1], row[1], row[1])
             figures.append(Figures(name, hash(version) & 1, version, {"all": count}))
         seen = DriverInput(SEEN._replace(dispatchers_down=self.down), self.settled, True, figures)
-        step = self.driver.on_look(self.value, seen, self.now)
+        step = self.driver.next_step(self.value, seen, self.now)
         if step is not None:
             self.done.append(step.reason)
             self.value = value_of(step.change(self.value, "me", self.now))
@@ -193,7 +193,7 @@
     fleet = Fleet(lambda version, now: 0.97, msgspec.structs.replace(PLAN, bound=20.0))
     fleet.second()
     fleet.counts = {}
-    assert fleet.play(10) == "going" and "too little" in fleet.driver.held
+    assert fleet.play(10) == "going" and "too little" in fleet.driver.blocked_by
 
 
 # -- the keeper
@@ -215,7 +215,7 @@
                 self.do(self.keeper.on_started(made, action.beside, self.now))
             elif isinstance(action, FleetCall):
                 self.said.append(action)
-                self.do(self.keeper.on_said(action, answer, self.now), answer)
+                self.do(self.keeper.on_call_result(action, answer, self.now), answer)
             else:
                 self.ended.append(action)
 
@@ -237,38 +237,38 @@
     machine.wait(0.0)
     machine.do(machine.keeper.on_ready(100, 0.0))
     machine.order(V2, 0)
-    assert machine.keeper.kept.phase == "alone"  # without a place nothing is begun
+    assert machine.keeper.state.phase == "alone"  # without a place nothing is begun
     machine.order(V2)
-    assert machine.said[-1] == FleetCall("takes", ("7",)) and machine.keeper.kept.phase == "beside"
+    assert machine.said[-1] == FleetCall("takes", ("7",)) and machine.keeper.state.phase == "beside"
     machine.do(machine.keeper.on_ready(101, 0.0))
-    assert machine.keeper.kept.phase == "trial"
+    assert machine.keeper.state.phase == "trial"
     return machine
 
 
 def test_one_version_follows_another_and_the_fleet_is_told() -> None:
     machine = midway()
     machine.wait(5.0)
-    assert machine.ended == [End(100)] and machine.keeper.kept.phase == "ending"
+    assert machine.ended == [End(100)] and machine.keeper.state.phase == "ending"
     machine.gone(100, 0)
-    assert machine.keeper.kept == KeeperState(Child(V2, 101, 1), None, "alone")
+    assert machine.keeper.state == KeeperState(Child(V2, 101, 1), None, "alone")
     assert machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
 def test_a_newcomer_that_fails_leaves_the_one_before_serving() -> None:
     machine = midway()
     machine.gone(101)
-    assert machine.keeper.kept.serving.pid == 100 and machine.said[-1].what == "failed"
+    assert machine.keeper.state.serving.pid == 100 and machine.said[-1].what == "failed"
     assert "within its trial" in " ".join(machine.said[-1].words)
     machine = midway()
     machine.order(None)  # undone meanwhile
-    assert machine.ended == [End(101)] and machine.keeper.kept.phase == "back"
+    assert machine.ended == [End(101)] and machine.keeper.state.phase == "back"
     machine.wait(15.0)
-    assert machine.ended[-1] == End(101, hard=True)
+    assert machine.ended[-1] == End(101, kill=True)
     machine.gone(101, -9)
     assert machine.said[-1] == FleetCall("arrived", ("-",))
     machine = midway()
     machine.gone(100)  # the one before dies: the newcomer serves already
-    assert machine.keeper.kept.serving.pid == 101 and machine.said[-1] == FleetCall("arrived", ("-v2",))
+    assert machine.keeper.state.serving.pid == 101 and machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
 def test_one_that_is_not_ready_in_time_is_ended() -> None:
@@ -276,30 +276,30 @@
     machine.wait(0.0)
     machine.order(V2)
     machine.wait(15.0)
-    assert machine.ended == [End(101, hard=True)]
+    assert machine.ended == [End(101, kill=True)]
     machine.gone(101, -9)
-    assert machine.keeper.kept.serving.pid == 100 and machine.said[-1].what == "failed"
+    assert machine.keeper.state.serving.pid == 100 and machine.said[-1].what == "failed"
 
 
 def test_crashes_wait_longer_each_time_and_a_loop_has_an_end() -> None:
     machine = Machine()
     machine.wait(0.0)
     machine.gone(100)
-    assert machine.keeper.kept.phase == "down"
+    assert machine.keeper.state.phase == "down"
     machine.wait(BACK_OFF[0])
-    assert machine.keeper.kept.serving.pid == 101
+    assert machine.keeper.state.serving.pid == 101
     machine.gone(101)
     machine.wait(BACK_OFF[0])
-    assert machine.keeper.kept.phase == "down"  # twice as long now
+    assert machine.keeper.state.phase == "down"  # twice as long now
     machine.wait(BACK_OFF[0])
-    assert machine.keeper.kept.serving.pid == 102
+    assert machine.keeper.state.serving.pid == 102
     machine.gone(102)
     machine.wait(100.0)
-    assert "3 crashes" in machine.keeper.lost and machine.keeper.kept.phase == "down"
+    assert "3 crashes" in machine.keeper.failure and machine.keeper.state.phase == "down"
     machine = Machine()
     machine.wait(0.0)
     machine.gone(100, 0)  # drained as it was asked: that is no crash
-    assert machine.keeper.kept.serving.pid == 101
+    assert machine.keeper.state.serving.pid == 101
 
 
 @pytest.mark.parametrize(
@@ -320,13 +320,13 @@
 def test_the_next_keeper_goes_on_from_what_lives(phase: Any, alive: set[int], serves: int, word: str) -> None:
     newcomer = None if phase == "alone" else Child(V2, 2, 1)
     machine = Machine(KeeperState(Child(None, 1, 1), newcomer, phase), frozenset(alive))
-    assert machine.keeper.kept.serving.pid == serves
+    assert machine.keeper.state.serving.pid == serves
     if serves:
         machine.wait(2.0)
     else:
         machine.wait(0.0)
         machine.wait(2.0)
-        assert machine.keeper.kept.serving.version is None  # all of it was gone: the version that had served
+        assert machine.keeper.state.serving.version is None  # all of it was gone: the version that had served
     assert [say.what for say in machine.said] == ([word] if word else [])
     assert machine.ended == ([End(1)] if (phase, alive) == ("ending", {1, 2}) else [])
 
@@ -341,7 +341,7 @@
     machine = Machine()
     machine.wait(0.0)
     for what, number in events:
-        kept = machine.keeper.kept
+        kept = machine.keeper.state
         pids = [child.pid for child in (kept.serving, kept.newcomer) if child is not None and child.pid]
         if what == "time":
             machine.wait([0.1, 1.0, 5.0, 20.0][number])
@@ -351,7 +351,7 @@
             machine.gone(pids[number % len(pids)], [0, 9, None, -9][number])
         elif what in ("order", "back"):
             machine.order(V2 if what == "order" else None, number)
-        kept = machine.keeper.kept
+        kept = machine.keeper.state
         assert (kept.newcomer is not None) == (kept.phase in ("beside", "trial", "ending", "back"))
         assert kept.phase == "down" or kept.serving.pid
         assert kept.newcomer is None or kept.newcomer.pid != kept.serving.pid
@@ -361,17 +361,17 @@
 
 def test_a_keeper_that_is_ended_ends_what_hangs() -> None:
     machine = midway()
-    machine.do(machine.keeper.on_end(machine.now))
+    machine.do(machine.keeper.on_stop(machine.now))
     assert machine.ended == [End(100), End(101)]
     machine.wait(15.0)
-    assert machine.ended[2:] == [End(100, hard=True), End(101, hard=True)]
+    assert machine.ended[2:] == [End(100, kill=True), End(101, kill=True)]
 
 
 def test_a_keeper_starts_only_what_its_own_file_allows() -> None:
     plan = KeepPlan("keep", allow=(("/opt/t-*/bin/python", "-O", "-m", "thistleshore"),), files=("/etc/t/*.toml",))
     fine = ("/opt/t-2.4/bin/python", "-O", "-m", "thistleshore")
-    assert keeping.forbidden(None, plan) == keeping.forbidden(Version("a"), plan) == ""
-    assert keeping.forbidden(Version("a", fine, "/etc/t/x.toml"), plan) == ""
+    assert keeping.forbidden_reason(None, plan) == keeping.forbidden_reason(Version("a"), plan) == ""
+    assert keeping.forbidden_reason(Version("a", fine, "/etc/t/x.toml"), plan) == ""
     up = "/opt/t-x/../../tmp/bin/python"
     for command, file in (
         ((*fine[:2], "-c", "evil"), ""),
@@ -380,8 +380,8 @@
         (fine, "/tmp/x.toml"),
         ((up, *fine[1:]), ""),
     ):
-        assert keeping.forbidden(Version("a", command, file), plan) != ""
-    assert keeping.forbidden(Version("a", fine), KeepPlan("keep")) != ""  # without a word of it nothing else is
+        assert keeping.forbidden_reason(Version("a", command, file), plan) != ""
+    assert keeping.forbidden_reason(Version("a", fine), KeepPlan("keep")) != ""  # without a word of it nothing else is
 
 
 def test_a_process_is_known_by_its_birth_and_a_spoilt_state_is_told(tmp_path: Path) -> None:
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -64,7 +64,7 @@
     assert ask(value, "host", "h2").limit == "hosts_a_zone"  # type: ignore[union-attr]
     value = taken(ask(value, "host", "h1"))
     assert ask(value, "host", "h3").limit == "hosts"  # type: ignore[union-attr]
-    assert [places.allowed(bound, 10) for bound in (0, 3, "0%", "5%", "20%", "100%")] == [0, 3, 0, 1, 2, 10]
+    assert [places.max_allowed(bound, 10) for bound in (0, 3, "0%", "5%", "20%", "100%")] == [0, 3, 0, 1, 2, 10]
 
 
 def test_a_place_is_freed_by_its_return_alone_and_a_lowered_limit_calls_nobody_back() -> None:
--- a/thistleshore/cli/keep.py
+++ b/thistleshore/cli/keep.py
@@ -43,7 +43,7 @@
     async def run() -> int | str:
         ends = trio.Event()
         try:
-            carrier = keeping.Carrier(keep, file, admin)
+            runner = keeping.KeeperRunner(keep, file, admin)
         except (keeping.Busy, ValueError, OSError) as problem:
             return str(problem)
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
@@ -54,7 +54,7 @@
                         ends.set()
 
                 nursery.start_soon(obey)
-                status = await carrier.run(ends)
+                status = await runner.run(ends)
                 nursery.cancel_scope.cancel()
         return status
 
--- a/thistleshore/cli/release.py
+++ b/thistleshore/cli/release.py
@@ -37,7 +37,7 @@
 
     try:
         tables = tomllib.loads(plan.read_text())
-        waves.read(tables)
+        waves.read_plan(tables)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, waves.PlanError) as problem:
         refuse(f"{plan}: {problem}", 2)
     found = _agreed(file, "start", json.dumps(tables, separators=(",", ":")))
--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -20,7 +20,7 @@
 from thistleshore.releases.register import NO_BALLOT, Accepted, Change, Unable, VoterState
 
 Answer = dict[str, Any]
-TURNS = {"halt": "halted", "undo": "undoing", "resume": "resume"}  # calls, and the state that they ask for
+RELEASE_STATES = {"halt": "halted", "undo": "undoing", "resume": "resume"}  # calls, and the state that they ask for
 
 
 class ReleaseCalls:
@@ -34,63 +34,63 @@
         try:
             return await self._answer(name, words)
         except NoMajority as problem:
-            return {"status": "no-majority", "told": str(problem), "known": self.told()}
+            return {"status": "no-majority", "told": str(problem), "known": self.describe()}
 
     async def _answer(self, name: str, words: Sequence[str]) -> Answer:
         match name:
             case "out":
-                return {"status": "done", **self.told()}
+                return {"status": "done", **self.describe()}
             case "release":
-                return {"status": "done", **self.told_release()}
+                return {"status": "done", **self.describe_release()}
             case "order":
-                return self._order()
+                return self._describe_order()
             case "begin":
                 return await self._begin()
             case "voters":
-                return await self._take_in(words[0])
+                return await self._reinstall_voter(words[0])
             case "drain" | "return":
-                return await self._turn_place(name, words)
+                return await self._change_place(name, words)
             case _:
-                return await self._agree(self._change(name, words))
+                return await self._apply_change(self._change(name, words))
 
     # -- changes of the value --------------------------------------------------------------------
 
-    async def _agree(self, change: Change) -> Answer:
+    async def _apply_change(self, change: Change) -> Answer:
         return _outcome(await self.releases.change(change))
 
     def _change(self, name: str, words: Sequence[str]) -> Change:
         """What a call changes, where that is all that it does."""
-        now, me = time.time(), self.releases.name
+        now, own_name = time.time(), self.releases.name
         match name:
             case "limits":
                 limits = msgspec.json.decode(words[0], type=Limits)
-                return lambda value: places.set_limits(value, limits, me, now)
+                return lambda value: places.set_limits(value, limits, own_name, now)
             case "start":
-                plan = waves.read(msgspec.json.decode(" ".join(words)))
+                plan = waves.read_plan(msgspec.json.decode(" ".join(words)))
                 zones = self.releases.zones(plan.service)
-                return lambda value: waves.start(value, plan, zones, me, now)
+                return lambda value: waves.start(value, plan, zones, own_name, now)
             case "takes":
-                return self._begin_place("dispatcher", me, int(words[0]), now)
+                return self._begin_place("dispatcher", own_name, int(words[0]), now)
             case "host-takes":
                 return self._begin_place("host", words[0], int(words[1]), now)
             case "arrived" | "failed":
-                return self._ended("dispatcher", me, name == "arrived", words, now)
+                return self._finish_change("dispatcher", own_name, name == "arrived", words, now)
             case "host-arrived" | "host-failed":
-                return self._ended("host", words[0], name == "host-arrived", words[1:], now)
+                return self._finish_change("host", words[0], name == "host-arrived", words[1:], now)
             case _:
-                return self._turn_release(TURNS[name], " ".join(words), now)
+                return self._change_release_state(RELEASE_STATES[name], " ".join(words), now)
 
     def _begin_place(self, kind: Kind, name: str, number: int, now: float) -> Change:
         return lambda value: places.begin(value, kind, name, number, self.releases.name, now)
 
-    def _ended(self, kind: Kind, name: str, arrived: bool, words: Sequence[str], now: float) -> Change:
+    def _finish_change(self, kind: Kind, name: str, arrived: bool, words: Sequence[str], now: float) -> Change:
         """One that was to change runs that version now; it failed to, with a reason, unless it has arrived."""
-        version, told, me = words[0].removeprefix("-"), " ".join(words[1:]), self.releases.name
+        version, told, own_name = words[0].removeprefix("-"), " ".join(words[1:]), self.releases.name
         if arrived:
-            return lambda value: waves.arrived(value, name, version, me, now, kind)
-        return lambda value: waves.failed(value, name, version, told, me, now, kind)
+            return lambda value: waves.arrived(value, name, version, own_name, now, kind)
+        return lambda value: waves.failed(value, name, version, told, own_name, now, kind)
 
-    def _turn_release(self, state: str, told: str, now: float) -> Change:
+    def _change_release_state(self, state: str, told: str, now: float) -> Change:
         """Of the release that the register holds by then, whatever is known here."""
 
         def change(value: Value) -> Value | Refusal:
@@ -99,17 +99,17 @@
 
         return change
 
-    async def _turn_place(self, name: str, words: Sequence[str]) -> Answer:
+    async def _change_place(self, name: str, words: Sequence[str]) -> Answer:
         """A place for a dispatcher or host to be out, or back."""
         if words[0] not in ("dispatcher", "host"):
             return {"status": "refused", "told": "dispatcher or host is wanted"}
         kind, which, reason = cast(Kind, words[0]), words[1], " ".join(words[2:])
-        now, me, seen = time.time(), self.releases.name, self.releases.observe()
+        now, own_name, seen = time.time(), self.releases.name, self.releases.observe()
 
         def change(value: Value) -> Value | Refusal:
             if name == "drain":
-                return places.grant(value, kind, which, reason, me, seen, now)
-            return places.free(value, kind, which, reason, me, now)
+                return places.grant(value, kind, which, reason, own_name, seen, now)
+            return places.free(value, kind, which, reason, own_name, now)
 
         found = await self.releases.change(change)
         if isinstance(found, Value):
@@ -139,28 +139,30 @@
         }
         replies = await self.releases.ask_all(installs)
         if failed := {name: reply for name, reply in replies.items() if not isinstance(reply, Accepted)}:
-            told = "; ".join(f"{voter}: {_why(reply)}" for voter, reply in failed.items())
+            told = "; ".join(f"{voter}: {_failure_reason(reply)}" for voter, reply in failed.items())
             return {"status": "no-majority", "told": f"begin again, for {told}"}
         await self.releases.poll_voters()
         return {"status": "done", "number": 1}
 
-    async def _take_in(self, name: str) -> Answer:
+    async def _reinstall_voter(self, name: str) -> Answer:
         """Take a voter in again whose file was lost: out of the voters, its state anew, and in again."""
         if name not in self.releases.plan.voters:
             return {"status": "refused", "told": f"no voter of that name is in this instance's file: {name}"}
-        now, me = time.time(), self.releases.name
-        found = await self.releases.change(lambda value: places.change_voter(value, name, False, me, now))
+        now, own_name = time.time(), self.releases.name
+        found = await self.releases.change(lambda value: places.change_voter(value, name, False, own_name, now))
         if isinstance(found, Refusal):
             return _outcome(found)
         writes = self.releases.seen.get(name, 0) + 1
         held = VoterState(self.releases.register, name, NO_BALLOT, NO_BALLOT, None, writes)
         reply = await self.releases.ask(name, Install(held, begin=False))
-        problem = _why(reply) if not isinstance(reply, Accepted) else await self._hand_body(name, found)
+        problem = (
+            _failure_reason(reply) if not isinstance(reply, Accepted) else await self._deposit_current_body(name, found)
+        )
         if problem:
             return {"status": "refused", "told": f"{name} is no voter now, and could not be taken in: {problem}"}
-        return await self._agree(lambda value: places.change_voter(value, name, True, me, now))
+        return await self._apply_change(lambda value: places.change_voter(value, name, True, own_name, now))
 
-    async def _hand_body(self, name: str, value: Value) -> str:
+    async def _deposit_current_body(self, name: str, value: Value) -> str:
         """Have a voter that is taken in hold the body of the version in force; why it does not, "" where it does."""
         entry = value.configuration.current
         if entry is None:
@@ -169,11 +171,11 @@
         if body is None:
             return f"no voter gave the body of version {entry.number}"
         reply = await self.releases.ask(name, Deposit(entry.digest, body))
-        return "" if isinstance(reply, Deposited) else _why(reply)
+        return "" if isinstance(reply, Deposited) else _failure_reason(reply)
 
     # -- what is known here --------------------------------------------------------------------------
 
-    def _order(self) -> Answer:
+    def _describe_order(self) -> Answer:
         """What the keeper of this dispatcher is to do."""
         value = self.releases.known
         if value is None or not self.releases.has_recent_majority:
@@ -188,7 +190,7 @@
             "version": version,
         }
 
-    def told_release(self) -> Answer:
+    def describe_release(self) -> Answer:
         """The release as it is known here, who runs what, and why nothing goes on."""
         value, agreed = self.releases.known, self.releases.has_recent_majority
         if value is None or value.release is None:
@@ -200,16 +202,16 @@
             "agreed": agreed,
             "release": msgspec.to_builtins(release),
             "runs": {name: value.version_of(release.kind, name) for name in sorted(release.former)},
-            "hosts": self._told_hosts(value),
+            "hosts": self._describe_hosts(value),
             "left": list(waves.remaining(value)),
-            "held": driver.held,
+            "held": driver.blocked_by,
             "carried_on_by": live[0] if live else "",
-            "gate": self._told_gate(),
+            "gate": self._describe_gate(),
             "out": [place.name for place in value.places if place.kind == release.kind],
             "history": [msgspec.to_builtins(act) for act in value.history],
         }
 
-    def _told_hosts(self, value: Value) -> list[Answer]:
+    def _describe_hosts(self, value: Value) -> list[Answer]:
         """Hosts that a release changes now."""
         return [
             {
@@ -224,8 +226,8 @@
             if place.kind == "host" and place.release
         ]
 
-    def _told_gate(self) -> Answer | None:
-        gate = self.releases.driver.told
+    def _describe_gate(self) -> Answer | None:
+        gate = self.releases.driver.gate_result
         if gate is None:
             return None
         return {**gate._asdict(), "verdict": gate.verdict.name.lower(), "told": gate.verdict.value}
@@ -250,7 +252,7 @@
         report = releases.report() if member == releases.name else releases.reports.get(member)
         return report is not None and report.applied >= number and host in report.clear
 
-    def told(self) -> Answer:
+    def describe(self) -> Answer:
         """The value as it is known here, marked where no majority has said so lately."""
         value, voter = self.releases.known, self.releases.voter
         if value is None:
@@ -278,6 +280,6 @@
     return {"status": "done", "number": found.number}
 
 
-def _why(reply: object) -> str:
+def _failure_reason(reply: object) -> str:
     """Why a voter did not do what it was asked."""
     return reply.why if isinstance(reply, Unable) else "no answer"
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -453,7 +453,7 @@
             return
         seen = self.observe()
         figures = [report.figures for report in self.reports.values() if report.figures is not None]
-        step = self.driver.on_look(self.known, DriverInput(seen, *self.view(), figures), now)
+        step = self.driver.next_step(self.known, DriverInput(seen, *self.view(), figures), now)
         if step is None or not self.is_leader(seen):
             return
         point("driver-before")
--- a/thistleshore/releases/driver.py
+++ b/thistleshore/releases/driver.py
@@ -14,9 +14,9 @@
 from thistleshore.releases.model import FleetObservation, Refusal, Release, Value
 
 INTERVAL = 1.0  # s of one comparison
-WARM = 2.0  # s from the first word of a process for which it tells nothing: one that has just started is slower
-UNSETTLED_MOST = 15.0  # s for which a view that is not settled only holds a release
-OVER_MOST = 15.0  # s for which more that are out than the limit allows only hold it
+WARM_UP = 2.0  # s from the first word of a process for which it tells nothing: one that has just started is slower
+MAX_UNSETTLED = 15.0  # s for which a view that is not settled only holds a release
+MAX_OVER_LIMIT = 15.0  # s for which more that are out than the limit allows only hold it
 
 # Since a start: asked, answered in time, refused, of those in time within the aim, and by one upstream request.
 Counts = tuple[int, int, int, int, int]
@@ -53,11 +53,11 @@
 
 def tallies(difference: Mapping[str, Iterable[Counts]]) -> dict[str, Tally]:
     """The strata of one group in one interval, out of counts by class."""
-    found: dict[str, Tally] = {}
+    result: dict[str, Tally] = {}
 
     def add(stratum: str, tries: int, good: int) -> None:
-        before = found.get(stratum, Tally(0, 0))
-        found[stratum] = Tally(before.tries + tries, before.good + max(0, min(good, tries)))
+        before = result.get(stratum, Tally(0, 0))
+        result[stratum] = Tally(before.tries + tries, before.good + max(0, min(good, tries)))
 
     for name, rows in difference.items():
         for asked, in_time, refused, prompt, first in rows:
@@ -66,104 +66,110 @@
             add(f"taken of {name}", asked, asked - refused)
             add(f"attempts of {name}", in_time, first)
             add(f"latency of {name}", in_time, prompt)
-    return found
+    return result
 
 
 class Driver:
-    """One instance's; `on_look` takes what is agreed and seen, and gives the next change, or None and says why."""
+    """One instance's; `next_step` takes what is agreed and seen, and gives the next change, or None and says why."""
 
     def __init__(self) -> None:
-        self.held = ""  # why nothing goes on now
-        self.told: GateResult | None = None  # the gate's last word
+        self.blocked_by = ""  # why nothing goes on now
+        self.gate_result: GateResult | None = None  # the gate's last word
         self._release = (0, -1)  # the release and wave that the gate is about
         self._gate: Gate | None = None
         self._counts: dict[tuple[str, int], Mapping[str, Counts]] = {}
-        self._hosts: dict[str, float] = {}  # since when each has the new version
+        self._hosts_updated_at: dict[str, float] = {}  # since when each has the new version
         self._host_counts: dict[tuple[str, int], Mapping[str, HostCounts]] = {}
-        self._since: dict[tuple[str, int], float] = {}  # when each process was first heard of
-        self._looked = 0.0
-        self._troubles: dict[str, float] = {}
-        self._places: dict[int, float] = {}  # since when each place of the release is known here
-        self._alone = False
-        self._through: float | None = None  # since when nobody of the wave is left to change
-
-    def on_look(self, value: Value, seen: DriverInput, now: float) -> Step | None:
+        self._first_report_at: dict[tuple[str, int], float] = {}  # when each process was first heard of
+        self._last_interval_at = 0.0
+        self._problems_since: dict[str, float] = {}
+        self._places_since: dict[int, float] = {}  # since when each place of the release is known here
+        self._nothing_to_compare = False
+        self._wave_updated_at: float | None = None  # since when nobody of the wave is left to change
+
+    def next_step(self, value: Value, seen: DriverInput, now: float) -> Step | None:
         release = value.release
         if release is None or release.state not in waves.ACTIVE_STATES:
-            self.held, self._release, self._gate, self._places = "", (0, -1), None, {}
-            self._troubles.clear()
-            self._hosts, self._host_counts = {}, {}
+            self.blocked_by, self._release, self._gate, self._places_since = "", (0, -1), None, {}
+            self._problems_since.clear()
+            self._hosts_updated_at, self._host_counts = {}, {}
             self._counts = {}  # what comes while it is halted is no evidence of what follows
             return None
         number = release.number
-        self._feed(value, release, seen, now)
-        if release.state == "going" and self.told is not None and self.told.verdict is Verdict.WORSE:
-            how = "undoing" if release.worse == "undo" else "halted"
-            told = self.told
-            why = f"{told.stratum}: {told.new:.1%} of {told.tries}, {told.old:.1%} without it"
-            return Step(lambda v, by, when: waves.change_state(v, number, how, why, by, when), why)
-        if trouble := self._trouble(value, seen, now):
-            return Step(lambda v, by, when: waves.change_state(v, number, "halted", trouble, by, when), trouble)
-        if self.held:
+        self._feed_gate(value, release, seen, now)
+        if release.state == "going" and self.gate_result is not None and self.gate_result.verdict is Verdict.WORSE:
+            state = "undoing" if release.worse == "undo" else "halted"
+            result = self.gate_result
+            why = f"{result.stratum}: {result.new:.1%} of {result.tries}, {result.old:.1%} without it"
+            return Step(lambda v, by, when: waves.change_state(v, number, state, why, by, when), why)
+        if problem := self._halt_reason(value, seen, now):
+            return Step(lambda v, by, when: waves.change_state(v, number, "halted", problem, by, when), problem)
+        if self.blocked_by:
             return None
         return self._next(value, release, seen, now)
 
     # -- what holds it, and what halts it
 
-    def _trouble(self, value: Value, seen: DriverInput, now: float) -> str:
+    def _halt_reason(self, value: Value, seen: DriverInput, now: float) -> str:
         """A reason to halt; `held` says what only holds it for a while."""
         assert value.release is not None
         down = seen.standing.dispatchers_down
-        held = {place.name for place in value.places if place.kind == "dispatcher"}
-        allowed = places.allowed(value.limits.dispatchers, len(seen.standing.dispatchers))
-        over = len(down | held) - allowed
-        found = {
-            "the view has no majority": (not seen.majority, UNSETTLED_MOST),
-            "the view is not settled": (not seen.settled, UNSETTLED_MOST),
-            f"more are out than {allowed}: {', '.join(sorted(down | held))}": (over > 0, OVER_MOST),
+        with_place = {place.name for place in value.places if place.kind == "dispatcher"}
+        allowed = places.max_allowed(value.limits.dispatchers, len(seen.standing.dispatchers))
+        over = len(down | with_place) - allowed
+        conditions = {
+            "the view has no majority": (not seen.majority, MAX_UNSETTLED),
+            "the view is not settled": (not seen.settled, MAX_UNSETTLED),
+            f"more are out than {allowed}: {', '.join(sorted(down | with_place))}": (over > 0, MAX_OVER_LIMIT),
         }
-        self._troubles = {text: self._troubles.get(text, now) for text, (so, _) in found.items() if so}
-        self.held = next(iter(self._troubles), "")
+        self._problems_since = {
+            text: self._problems_since.get(text, now) for text, (present, _) in conditions.items() if present
+        }
+        self.blocked_by = next(iter(self._problems_since), "")
         midway = {place.number: place for place in value.places if place.release}
-        self._places = {n: self._places.get(n, now) for n in midway}
-        for text, since in self._troubles.items():
-            if now - since >= found[text][1]:
+        self._places_since = {n: self._places_since.get(n, now) for n in midway}
+        for text, since in self._problems_since.items():
+            if now - since >= conditions[text][1]:
                 return f"{text}, for {now - since:.0f} s"
-        for n, since in self._places.items():
+        for n, since in self._places_since.items():
             if now - since >= value.release.within:
                 return f"{midway[n].name} is not through after {now - since:.0f} s"
         return ""
 
     def _next(self, value: Value, release: Release, seen: DriverInput, now: float) -> Step | None:
         number = release.number
-        left = waves.remaining(value)
-        self._through = None if left else now if self._through is None else self._through
-        for name in left:
+        remaining = waves.remaining(value)
+        self._wave_updated_at = None if remaining else now if self._wave_updated_at is None else self._wave_updated_at
+        for name in remaining:
             if value.place(release.kind, name) is not None:
                 continue
             outcome = waves.grant(value, number, name, "", seen.standing, 0.0)
             if isinstance(outcome, Refusal):
-                self.held = outcome.reason
+                self.blocked_by = outcome.reason
                 continue
             return Step(
                 lambda v, by, when, name=name: waves.grant(v, number, name, by, seen.standing, when),  # type: ignore[misc]
                 f"a place for {name}",
             )
-        if left:
-            self.held = self.held or f"waiting for {', '.join(left)}"
+        if remaining:
+            self.blocked_by = self.blocked_by or f"waiting for {', '.join(remaining)}"
             return None
         if release.state == "undoing":
             return Step(
                 lambda v, by, when: waves.change_state(v, number, "undone", release.told, by, when), "all are back"
             )
-        verdict = self.told.verdict if self.told is not None else Verdict.WAIT
+        verdict = self.gate_result.verdict if self.gate_result is not None else Verdict.WAIT
         if verdict is Verdict.UNTOLD:
             text = "too few requests to tell whether it is worse"
             return Step(lambda v, by, when: waves.change_state(v, number, "halted", text, by, when), text)
         last = release.wave + 1 == len(release.waves)
-        assert self._through is not None
-        if not self._alone and (verdict is not Verdict.FINE or now - self._through < release.enough):
-            self.held = f"the gate: {Verdict.WAIT.value}"  # and a wave is looked at for so long after its last one
+        assert self._wave_updated_at is not None
+        if not self._nothing_to_compare and (
+            verdict is not Verdict.FINE or now - self._wave_updated_at < release.enough
+        ):
+            self.blocked_by = (
+                f"the gate: {Verdict.WAIT.value}"  # and a wave is looked at for so long after its last one
+            )
             return None
         if last:
             return Step(lambda v, by, when: waves.change_state(v, number, "done", "", by, when), "all have it")
@@ -172,24 +178,24 @@
 
     # -- the gate
 
-    def _feed(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
+    def _feed_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
         """Feed the gate of the wave under way with what came since the last interval."""
         if release.state != "going":
-            self._gate = self.told = None
+            self._gate = self.gate_result = None
             return
         if self._release != (release.number, release.wave):
             # A gate for each wave: what was fine with few is asked again with more.
-            self._release, self._gate, self.told = (release.number, release.wave), None, None
+            self._release, self._gate, self.gate_result = (release.number, release.wave), None, None
         if release.kind == "host":
-            self._feed_hosts(value, release, seen, now)
+            self._feed_host_gate(value, release, seen, now)
             return
         new = release.version.name
         runs = {figures.name: figures.version == new for figures in seen.figures}
         # Where all have it there is none to compare with: those who are left had it before this release.
-        self._alone = bool(runs) and all(runs.values()) and not waves.remaining(value)
-        if now - self._looked < INTERVAL:
+        self._nothing_to_compare = bool(runs) and all(runs.values()) and not waves.remaining(value)
+        if now - self._last_interval_at < INTERVAL:
             return
-        self._looked = now
+        self._last_interval_at = now
         groups: tuple[dict[str, list[Counts]], dict[str, list[Counts]]] = ({}, {})
         single: dict[str, tuple[int, int]] = {}
         members: dict[str, dict[str, Tally]] = {}
@@ -198,21 +204,21 @@
             key = figures.name, figures.boot
             counts[key] = figures.classes
             before = self._counts.get(key)
-            if before is None or now - self._since.setdefault(key, now) < WARM:
+            if before is None or now - self._first_report_at.setdefault(key, now) < WARM_UP:
                 continue  # where counting begins
-            has = figures.version == new
+            has_new = figures.version == new
             here: dict[str, list[Counts]] = {}
             for name, row in figures.classes.items():
                 last = before.get(name, (0, 0, 0, 0, 0))
                 difference: Counts = tuple(a - b for a, b in zip(row, last, strict=True))  # type: ignore[assignment]
-                groups[has].setdefault(name, []).append(difference)
+                groups[has_new].setdefault(name, []).append(difference)
                 here[name] = [difference]
-                if has:
+                if has_new:
                     tries, good = single.get(figures.name, (0, 0))
                     single[figures.name] = tries + difference[0], good + difference[1]
-            if not has:
+            if not has_new:
                 members[figures.name] = tallies(here)
-        self._counts, self._since = counts, {key: self._since.get(key, now) for key in counts}
+        self._counts, self._first_report_at = counts, {key: self._first_report_at.get(key, now) for key in counts}
         if not groups[1] or not groups[0]:
             return
         old, fresh = tallies(groups[0]), tallies(groups[1])
@@ -224,15 +230,15 @@
                 strata[stratum] = strata.get("service", Tally(0, 0))
         self._judge(release, pairs, now, members)
 
-    def _feed_hosts(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
+    def _feed_host_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
         """Ticket workers of the new version against those without it, as all dispatchers saw them."""
         new = {name for name in release.former if value.version_of("host", name) == release.version.name}
-        self._alone = not set(release.former) - new
+        self._nothing_to_compare = not set(release.former) - new
         for name in new:
-            self._hosts.setdefault(name, now)
-        if now - self._looked < INTERVAL:
+            self._hosts_updated_at.setdefault(name, now)
+        if now - self._last_interval_at < INTERVAL:
             return
-        self._looked = now
+        self._last_interval_at = now
         sums = [[0, 0, 0], [0, 0, 0]]
         counts: dict[tuple[str, int], Mapping[str, HostCounts]] = {}
         for figures in seen.figures:
@@ -244,7 +250,7 @@
                     name not in release.former
                     or key not in self._counts
                     or name in new
-                    and (now - self._hosts[name] < 2 * WARM)
+                    and (now - self._hosts_updated_at[name] < 2 * WARM_UP)
                 ):
                     continue
                 last = self._host_counts.get(key, {}).get(name, (0, 0, 0))
@@ -271,6 +277,8 @@
     ) -> None:
         if self._gate is None:
             strata = {*pairs, *(f"service at {name}" for wave in release.waves[: release.wave + 1] for name in wave)}
-            terms = GateSettings(error=release.error, margin=release.margin, enough=release.enough, bound=release.bound)
-            self._gate = Gate(sorted(strata), terms, now)
-        self.told = self._gate.on_interval(pairs, now, members)
+            settings = GateSettings(
+                error=release.error, margin=release.margin, min_duration=release.enough, max_duration=release.bound
+            )
+            self._gate = Gate(sorted(strata), settings, now)
+        self.gate_result = self._gate.on_interval(pairs, now, members)
--- a/thistleshore/releases/gate.py
+++ b/thistleshore/releases/gate.py
@@ -23,10 +23,10 @@
 
     error: float = 0.01  # over all strata, and over the whole wave
     margin: float = 0.02  # of a share: so much worse is not yet worse
-    typical: float = 0.08  # the difference that the test is tuned for; others are found too, later
-    least: int = 50  # tries in each group before a stratum says anything
-    enough: float = 30.0  # s after which a wave that nothing speaks against may go on
-    bound: float = 300.0  # s after which it is said that too few came to tell
+    typical_difference: float = 0.08  # the difference that the test is tuned for; others are found too, later
+    min_tries: int = 50  # tries in each group before a stratum says anything
+    min_duration: float = 30.0  # s after which a wave that nothing speaks against may go on
+    max_duration: float = 300.0  # s after which it is said that too few came to tell
 
 
 class Tally(NamedTuple):
@@ -59,14 +59,14 @@
     tries each group has before and after it.
     """
 
-    __slots__ = ("chance", "difference", "members", "new", "old", "terms", "variance", "weight")
+    __slots__ = ("difference", "members", "new", "old", "p_value", "settings", "variance", "weight")
 
-    def __init__(self, terms: GateSettings) -> None:
-        self.terms = terms
+    def __init__(self, settings: GateSettings) -> None:
+        self.settings = settings
         self.old, self.new = Tally(0, 0), Tally(0, 0)
         self.members: dict[str, Tally] = {}  # of those without the new version, one by one
         self.weight = self.difference = self.variance = 0.0
-        self.chance = 1.0
+        self.p_value = 1.0
 
     def add(self, old: Tally, new: Tally) -> None:
         """One interval of both groups; one in which either had nothing tells nothing."""
@@ -85,43 +85,43 @@
         before = self.members.get(name, Tally(0, 0))
         self.members[name] = Tally(before.tries + tally.tries, before.good + tally.good)
 
-    def spread(self) -> float:
+    def overdispersion(self) -> float:
         """How far those with the old version differ from one another, over what chance gives: 1 is as by chance.
 
         Requests of one process are not independent (it refuses in bursts, by its own view of the pressure): what tells
         equals apart so far is no fault of a version."""
-        rows = [row for row in self.members.values() if row.tries >= self.terms.least // 2]
+        rows = [row for row in self.members.values() if row.tries >= self.settings.min_tries // 2]
         tries, good = sum(row.tries for row in rows), sum(row.good for row in rows)
         if len(rows) < 2 or not 0 < good < tries:
             return 1.0
         mean = good / tries
-        apart = sum((row.good - row.tries * mean) ** 2 / (row.tries * mean * (1.0 - mean)) for row in rows)
-        return max(1.0, apart / (len(rows) - 1))
+        chi_square = sum((row.good - row.tries * mean) ** 2 / (row.tries * mean * (1.0 - mean)) for row in rows)
+        return max(1.0, chi_square / (len(rows) - 1))
 
-    def look(self) -> float:
+    def update_p_value(self) -> float:
         """The chance of a difference such as this, or greater at any look, where the new one is no worse."""
-        if min(self.old.tries, self.new.tries) < self.terms.least or not self.weight:
-            return self.chance
-        variance = self.variance * self.spread()
+        if min(self.old.tries, self.new.tries) < self.settings.min_tries or not self.weight:
+            return self.p_value
+        variance = self.variance * self.overdispersion()
         # `difference - margin` is normal with this variance where the shares differ by the margin.
-        beyond = self.difference - self.terms.margin * self.weight
-        if beyond > 0.0:
-            spread = self.terms.typical**2
-            grown = variance + spread * self.weight**2
-            ratio = sqrt(variance / grown) * exp(
-                min(700.0, spread * self.weight**2 * beyond**2 / (2.0 * variance * grown))
+        excess = self.difference - self.settings.margin * self.weight
+        if excess > 0.0:
+            prior_variance = self.settings.typical_difference**2
+            total_variance = variance + prior_variance * self.weight**2
+            ratio = sqrt(variance / total_variance) * exp(
+                min(700.0, prior_variance * self.weight**2 * excess**2 / (2.0 * variance * total_variance))
             )
             # Half of the mixture lies on the side of worse: the ratio of that half alone is at most twice this.
-            self.chance = min(self.chance, 1.0 / ratio if ratio > 0.0 else inf)
-        return self.chance
+            self.p_value = min(self.p_value, 1.0 / ratio if ratio > 0.0 else inf)
+        return self.p_value
 
 
 class Gate:
     """One wave's gate.  `on_interval` takes the tallies of one interval by stratum, and says what they come to."""
 
-    def __init__(self, strata: Iterable[str], terms: GateSettings, now: float) -> None:
-        self.terms, self.begun = terms, now
-        self.strata = {name: Stratum(terms) for name in strata}
+    def __init__(self, strata: Iterable[str], settings: GateSettings, now: float) -> None:
+        self.settings, self.started_at = settings, now
+        self.strata = {name: Stratum(settings) for name in strata}
         self.worse: GateResult | None = None
 
     def on_interval(
@@ -142,17 +142,17 @@
                 self.strata[name].add(old, new)
         if self.worse is None:
             for name, stratum in self.strata.items():
-                if (chance := stratum.look()) < self.terms.error / len(self.strata):
+                if (p_value := stratum.update_p_value()) < self.settings.error / len(self.strata):
                     self.worse = GateResult(
-                        Verdict.WORSE, name, _share(stratum.old), _share(stratum.new), stratum.new.tries, chance
+                        Verdict.WORSE, name, _share(stratum.old), _share(stratum.new), stratum.new.tries, p_value
                     )
                     break
         if self.worse is not None:
             return self.worse
-        told = any(min(s.old.tries, s.new.tries) >= self.terms.least for s in self.strata.values())
-        if told and now - self.begun >= self.terms.enough:
+        has_enough_tries = any(min(s.old.tries, s.new.tries) >= self.settings.min_tries for s in self.strata.values())
+        if has_enough_tries and now - self.started_at >= self.settings.min_duration:
             return GateResult(Verdict.FINE)
-        if not told and now - self.begun >= self.terms.bound:
+        if not has_enough_tries and now - self.started_at >= self.settings.max_duration:
             return GateResult(Verdict.UNTOLD)
         return GateResult(Verdict.WAIT)
 
--- a/thistleshore/releases/keeper.py
+++ b/thistleshore/releases/keeper.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from thistleshore.releases.model import BASE, Version
+from thistleshore.releases.model import INITIAL_VERSION, Version
 
 BACK_OFF = (0.5, 30.0)  # s before a crashed dispatcher is started again: the first, and the most
-AGAIN = 1.0  # s before the fleet is told once more what it has not taken
+REPEAT_CALL_PAUSE = 1.0  # s before the fleet is told once more what it has not taken
 
 Phase = Literal["down", "alone", "beside", "trial", "ending", "back", "over"]
 
@@ -29,7 +29,7 @@
 
     @property
     def name(self) -> str:
-        return BASE if self.version is None else self.version.name
+        return INITIAL_VERSION if self.version is None else self.version.name
 
 
 class KeeperState(msgspec.Struct, frozen=True):
@@ -65,7 +65,7 @@
 
 class End(NamedTuple):
     pid: int
-    hard: bool = False  # SIGKILL; else SIGTERM, and it drains
+    kill: bool = False  # SIGKILL; else SIGTERM, and it drains
 
 
 class FleetCall(NamedTuple):
@@ -81,146 +81,151 @@
 class Keeper:
     """One dispatcher's.  `kept` is to be written whenever it has changed, before the actions are carried out."""
 
-    def __init__(self, plan: Plan, kept: KeeperState | None, alive: frozenset[int], now: float) -> None:
+    def __init__(self, plan: Plan, state: KeeperState | None, alive: frozenset[int], now: float) -> None:
         """`kept` is what the keeper before left, and `alive` which of its processes live."""
         self.plan, self.now = plan, now
-        self.kept = kept or KeeperState(Child(None))
-        self.over = False  # it is told to end
-        self.lost = ""  # why it does not go on
+        self.state = state or KeeperState(Child(None))
+        self.stopping = False  # it is told to end
+        self.failure = ""  # why it does not go on
         self._crashes: deque[float] = deque()
-        self._start_at, self._pause = now, BACK_OFF[0]
-        self._ready = False  # whoever is waited for has answered
-        self._until = inf  # when the phase is over
-        self._say: FleetCall | None = None  # until the fleet has taken it
-        self._say_at = -inf
-        self._asked: Order | None = None
+        self._next_start_at, self._back_off = now, BACK_OFF[0]
+        self._answered = False  # whoever is waited for has answered
+        self._phase_deadline = inf  # when the phase is over
+        self._pending_call: FleetCall | None = None  # until the fleet has taken it
+        self._next_call_at = -inf
+        self._pending_order: Order | None = None
         self._starting = False
-        self._owed: list[Action] = []
-        if kept is not None:
-            self._adopt(kept, alive)
-
-    def _adopt(self, kept: KeeperState, alive: frozenset[int]) -> None:
-        old, new = kept.serving.pid in alive, kept.newcomer is not None and kept.newcomer.pid in alive
-        if old and new and kept.newcomer is not None:
-            self._phase(kept.phase, kept.serving, kept.newcomer)
-            self._ready = kept.phase != "beside"
-            if kept.phase in ("ending", "back"):
+        self._deferred_actions: list[Action] = []
+        if state is not None:
+            self._adopt(state, alive)
+
+    def _adopt(self, state: KeeperState, alive: frozenset[int]) -> None:
+        old_alive, new_alive = state.serving.pid in alive, state.newcomer is not None and state.newcomer.pid in alive
+        if old_alive and new_alive and state.newcomer is not None:
+            self._enter_phase(state.phase, state.serving, state.newcomer)
+            self._answered = state.phase != "beside"
+            if state.phase in ("ending", "back"):
                 # What was on the disk may not have been done.
-                self._owed = [End(kept.serving.pid if kept.phase == "ending" else kept.newcomer.pid)]
-        elif new and kept.newcomer is not None:
-            self._alone(kept.newcomer, "arrived")  # the one before has gone meanwhile
-        elif old:
+                self._deferred_actions = [End(state.serving.pid if state.phase == "ending" else state.newcomer.pid)]
+        elif new_alive and state.newcomer is not None:
+            self._enter_alone(state.newcomer, "arrived")  # the one before has gone meanwhile
+        elif old_alive:
             # One that was not ready, or had not even begun, is begun again, by the place that is held.
-            word = {"back": "arrived", "trial": "failed", "ending": "failed"}.get(kept.phase, "")
-            self._alone(kept.serving, word, "its keeper found it gone")
+            call = {"back": "arrived", "trial": "failed", "ending": "failed"}.get(state.phase, "")
+            self._enter_alone(state.serving, call, "its keeper found it gone")
         else:
-            self._down(kept.serving, "failed" if kept.newcomer is not None else "", "all of it was gone")
+            self._enter_down(state.serving, "failed" if state.newcomer is not None else "", "all of it was gone")
 
     # -- steps
 
-    def _phase(self, phase: Phase, serving: Child, newcomer: Child | None) -> None:
-        self.kept = KeeperState(serving, newcomer, phase)
-        lasts = {"beside": self.plan.ready, "trial": self.plan.trial, "ending": self.plan.end, "back": self.plan.end}
-        self._until = self.now + lasts.get(phase, inf)
-
-    def _alone(self, child: Child, word: str = "", why: str = "") -> None:
-        self._phase("alone", child, None)
-        self._ready = False
-        if word:
-            self._tell(word, child, why)
-
-    def _down(self, child: Child, word: str = "", why: str = "") -> None:
-        self._phase("down", Child(child.version), None)
-        self._start_at = max(self._start_at, self.now)
-        if word:
-            self._tell(word, child, why)
-
-    def _tell(self, what: str, child: Child, why: str = "") -> None:
-        self._say, self._say_at = FleetCall(what, (f"-{child.name}", *why.split())), -inf
+    def _enter_phase(self, phase: Phase, serving: Child, newcomer: Child | None) -> None:
+        self.state = KeeperState(serving, newcomer, phase)
+        durations = {
+            "beside": self.plan.ready,
+            "trial": self.plan.trial,
+            "ending": self.plan.end,
+            "back": self.plan.end,
+        }
+        self._phase_deadline = self.now + durations.get(phase, inf)
+
+    def _enter_alone(self, child: Child, call: str = "", why: str = "") -> None:
+        self._enter_phase("alone", child, None)
+        self._answered = False
+        if call:
+            self._queue_call(call, child, why)
+
+    def _enter_down(self, child: Child, call: str = "", why: str = "") -> None:
+        self._enter_phase("down", Child(child.version), None)
+        self._next_start_at = max(self._next_start_at, self.now)
+        if call:
+            self._queue_call(call, child, why)
+
+    def _queue_call(self, what: str, child: Child, why: str = "") -> None:
+        self._pending_call, self._next_call_at = FleetCall(what, (f"-{child.name}", *why.split())), -inf
 
     # -- what happens
 
     def on_time(self, now: float) -> list[Action]:
         """Whatever is due."""
-        self.now, actions, self._owed = now, self._owed, []
-        kept = self.kept
-        if self.over and now >= self._until:
+        self.now, actions, self._deferred_actions = now, self._deferred_actions, []
+        state = self.state
+        if self.stopping and now >= self._phase_deadline:
             # One that hangs in its drain must not keep its keeper, and whoever waits for that, for ever.
-            self._until = inf
-            both = (kept.serving, kept.newcomer)
-            return [End(child.pid, hard=True) for child in both if child is not None and child.pid]
-        if self.over or self.lost:
+            self._phase_deadline = inf
+            children = (state.serving, state.newcomer)
+            return [End(child.pid, kill=True) for child in children if child is not None and child.pid]
+        if self.stopping or self.failure:
             return actions
-        if kept.phase == "down" and not self._starting and now >= self._start_at:
+        if state.phase == "down" and not self._starting and now >= self._next_start_at:
             self._starting = True
-            actions.append(Start(kept.serving, False))
-        elif kept.phase == "beside" and kept.newcomer is not None and now >= self._until:
-            actions.append(End(kept.newcomer.pid, hard=True))  # its end is heard of, and is a failure
-            self._until = inf
-        elif kept.phase == "trial" and now >= self._until:
-            self._phase("ending", kept.serving, kept.newcomer)
-            actions.append(End(kept.serving.pid))
-        elif kept.phase in ("ending", "back") and now >= self._until:
-            late = kept.serving if kept.phase == "ending" else kept.newcomer
+            actions.append(Start(state.serving, False))
+        elif state.phase == "beside" and state.newcomer is not None and now >= self._phase_deadline:
+            actions.append(End(state.newcomer.pid, kill=True))  # its end is heard of, and is a failure
+            self._phase_deadline = inf
+        elif state.phase == "trial" and now >= self._phase_deadline:
+            self._enter_phase("ending", state.serving, state.newcomer)
+            actions.append(End(state.serving.pid))
+        elif state.phase in ("ending", "back") and now >= self._phase_deadline:
+            late = state.serving if state.phase == "ending" else state.newcomer
             assert late is not None
-            actions.append(End(late.pid, hard=True))
-            self._until = inf
-        if self._say is not None and kept.phase != "down" and now >= self._say_at:
-            self._say_at = now + AGAIN
-            actions.append(self._say)
+            actions.append(End(late.pid, kill=True))
+            self._phase_deadline = inf
+        if self._pending_call is not None and state.phase != "down" and now >= self._next_call_at:
+            self._next_call_at = now + REPEAT_CALL_PAUSE
+            actions.append(self._pending_call)
         return actions
 
     def on_started(self, child: Child, beside: bool, now: float) -> list[Action]:
         """A process has been started."""
-        self.now, self._starting, self._ready = now, False, False
+        self.now, self._starting, self._answered = now, False, False
         if beside:
-            self._phase("beside", self.kept.serving, child)
+            self._enter_phase("beside", self.state.serving, child)
         else:
-            self._phase("alone", child, None)
+            self._enter_phase("alone", child, None)
         return []
 
     def on_not_started(self, beside: bool, why: str, now: float) -> list[Action]:
         """Its command could not be run."""
         self.now, self._starting = now, False
         if beside:
-            self._tell("failed", self.kept.serving, why)
+            self._queue_call("failed", self.state.serving, why)
         else:
             self._crashed(now)
         return []
 
     def on_ready(self, pid: int, now: float) -> list[Action]:
         """The process of that id answers PING with yes."""
-        self.now, kept = now, self.kept
-        if kept.phase == "beside" and kept.newcomer is not None and kept.newcomer.pid == pid:
-            self._phase("trial", kept.serving, kept.newcomer)
-        elif kept.phase == "alone" and kept.serving.pid == pid and not self._ready:
-            self._ready, self._pause = True, BACK_OFF[0]
+        self.now, state = now, self.state
+        if state.phase == "beside" and state.newcomer is not None and state.newcomer.pid == pid:
+            self._enter_phase("trial", state.serving, state.newcomer)
+        elif state.phase == "alone" and state.serving.pid == pid and not self._answered:
+            self._answered, self._back_off = True, BACK_OFF[0]
         return []
 
     def on_ended(self, pid: int, status: int | None, now: float) -> list[Action]:
         """A process has gone; its status where it was this keeper's own child."""
-        self.now, kept = now, self.kept
-        told = "it ended" if status is None else f"it ended with status {status}"
-        if kept.newcomer is not None and pid == kept.newcomer.pid:
-            if kept.phase == "back":
-                self._alone(kept.serving, "arrived")
-            elif kept.phase == "ending":
+        self.now, state = now, self.state
+        outcome = "it ended" if status is None else f"it ended with status {status}"
+        if state.newcomer is not None and pid == state.newcomer.pid:
+            if state.phase == "back":
+                self._enter_alone(state.serving, "arrived")
+            elif state.phase == "ending":
                 # The one before drains by now and cannot serve again.
-                self._down(kept.serving, "failed", f"{told} after its trial")
+                self._enter_down(state.serving, "failed", f"{outcome} after its trial")
             else:
-                when = "before it was ready" if kept.phase == "beside" else "within its trial"
-                self._alone(kept.serving, "failed", f"{told} {when}")
-        elif pid == kept.serving.pid:
-            if kept.newcomer is not None and kept.phase in ("trial", "ending"):
-                self._alone(kept.newcomer, "arrived")
-            elif kept.newcomer is not None:
+                when = "before it was ready" if state.phase == "beside" else "within its trial"
+                self._enter_alone(state.serving, "failed", f"{outcome} {when}")
+        elif pid == state.serving.pid:
+            if state.newcomer is not None and state.phase in ("trial", "ending"):
+                self._enter_alone(state.newcomer, "arrived")
+            elif state.newcomer is not None:
                 # It died before the newcomer had served, or while that drains: start anew, beside nobody.
-                self._down(kept.serving, "failed", "the one before it ended meanwhile")
-                return [End(kept.newcomer.pid, hard=True)]
+                self._enter_down(state.serving, "failed", "the one before it ended meanwhile")
+                return [End(state.newcomer.pid, kill=True)]
             elif status == 0:
-                self._down(kept.serving)  # it was asked to drain: whoever asked has it back
+                self._enter_down(state.serving)  # it was asked to drain: whoever asked has it back
             else:
-                self._down(kept.serving)
+                self._enter_down(state.serving)
                 self._crashed(now)
         return []
 
@@ -230,51 +235,56 @@
         while self._crashes and self._crashes[0] < now - self.plan.span:
             self._crashes.popleft()
         if len(self._crashes) >= self.plan.crashes:
-            self.lost = f"{len(self._crashes)} crashes within {self.plan.span:g} s"
-        self._start_at = now + self._pause
-        self._pause = min(BACK_OFF[1], 2 * self._pause)
+            self.failure = f"{len(self._crashes)} crashes within {self.plan.span:g} s"
+        self._next_start_at = now + self._back_off
+        self._back_off = min(BACK_OFF[1], 2 * self._back_off)
 
     def on_order(self, order: Order, now: float) -> list[Action]:
         """What the fleet has agreed on, heard from the dispatcher that serves."""
-        self.now, kept = now, self.kept
-        wanted = BASE if order.version is None else order.version.name
-        if self.over or self.lost or self._say is not None or self._starting:
+        self.now, state = now, self.state
+        wanted = INITIAL_VERSION if order.version is None else order.version.name
+        if self.stopping or self.failure or self._pending_call is not None or self._starting:
             return []
-        if kept.phase == "alone":
-            if wanted == kept.serving.name:
+        if state.phase == "alone":
+            if wanted == state.serving.name:
                 if order.place:
-                    self._tell("arrived", kept.serving)  # it has what it is to have: no place is needed
+                    self._queue_call("arrived", state.serving)  # it has what it is to have: no place is needed
             elif order.place and not order.begun:
-                self._asked, self._say = order, FleetCall("takes", (str(order.place),))
-                self._say_at = now + AGAIN
-                return [self._say]
+                self._pending_order, self._pending_call = order, FleetCall("takes", (str(order.place),))
+                self._next_call_at = now + REPEAT_CALL_PAUSE
+                return [self._pending_call]
             elif order.place:
-                return self._begin(order)  # a keeper before this one took it
-        elif kept.phase in ("beside", "trial") and kept.newcomer is not None and wanted == kept.serving.name:
-            if kept.newcomer.name != wanted and order.place:
+                return self._start_newcomer(order)  # a keeper before this one took it
+        elif state.phase in ("beside", "trial") and state.newcomer is not None and wanted == state.serving.name:
+            if state.newcomer.name != wanted and order.place:
                 # Undone while it is on trial: the one before serves again.
-                newcomer = kept.newcomer
-                self._phase("back", kept.serving, newcomer)
+                newcomer = state.newcomer
+                self._enter_phase("back", state.serving, newcomer)
                 return [End(newcomer.pid)]
         return []
 
-    def _begin(self, order: Order) -> list[Action]:
+    def _start_newcomer(self, order: Order) -> list[Action]:
         self._starting = True
         return [Start(Child(order.version), True)]
 
-    def on_said(self, say: FleetCall, status: str, now: float) -> list[Action]:
+    def on_call_result(self, call: FleetCall, status: str, now: float) -> list[Action]:
         """The fleet's answer: done, refused, or none for lack of a majority (then it is told again)."""
         self.now = now
-        if say != self._say or status not in ("done", "refused"):
+        if call != self._pending_call or status not in ("done", "refused"):
             return []
-        self._say = None
-        if say.what == "takes" and status == "done" and self.kept.phase == "alone" and self._asked is not None:
-            return self._begin(self._asked)
+        self._pending_call = None
+        if (
+            call.what == "takes"
+            and status == "done"
+            and self.state.phase == "alone"
+            and self._pending_order is not None
+        ):
+            return self._start_newcomer(self._pending_order)
         return []
 
-    def on_end(self, now: float) -> list[Action]:
+    def on_stop(self, now: float) -> list[Action]:
         """This keeper and its dispatcher are to end: all drain."""
-        self.now, self.over, kept = now, True, self.kept
-        self._until = now + self.plan.end
-        ends: list[Action] = [End(kept.serving.pid)] if kept.serving.pid else []
-        return ends + ([End(kept.newcomer.pid)] if kept.newcomer is not None else [])
+        self.now, self.stopping, state = now, True, self.state
+        self._phase_deadline = now + self.plan.end
+        ends: list[Action] = [End(state.serving.pid)] if state.serving.pid else []
+        return ends + ([End(state.newcomer.pid)] if state.newcomer is not None else [])
--- a/thistleshore/releases/keeping.py
+++ b/thistleshore/releases/keeping.py
@@ -73,7 +73,7 @@
         raise ValueError(f"{folder / FILE}: {problem}") from None
 
 
-def forbidden(version: Version | None, plan: KeepPlan) -> str:
+def forbidden_reason(version: Version | None, plan: KeepPlan) -> str:
     """Why a keeper does not start a version; "" where it may.
 
     Whoever reaches the admin interface or the register names commands: what runs here is for this machine's file to
@@ -90,7 +90,7 @@
     return ""
 
 
-class Carrier:
+class KeeperRunner:
     """One keeper: it holds its folder's lock while it lives."""
 
     def __init__(self, plan: KeepPlan, file: str, admin: Address) -> None:
@@ -103,57 +103,59 @@
         except OSError:
             os.close(self._lock)
             raise Busy(f"another keeper has {self.folder}") from None
-        kept = read(self.folder)
-        known = [child for child in (kept.serving, kept.newcomer) if child is not None] if kept is not None else []
+        state = read(self.folder)
+        known = [child for child in (state.serving, state.newcomer) if child is not None] if state is not None else []
         alive = frozenset(child.pid for child in known if is_running(child))
-        self.machine = Keeper(
-            Plan(plan.ready, plan.trial, plan.end, plan.crashes, plan.span), kept, alive, trio.current_time()
+        self.keeper = Keeper(
+            Plan(plan.ready, plan.trial, plan.end, plan.crashes, plan.span), state, alive, trio.current_time()
         )
-        self._written = kept
+        self._written = state
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         self._watched = set[int]()
         if alive:
             log.info("keeper: adopted %s", ", ".join(map(str, sorted(alive))))
 
-    async def run(self, ends: trio.Event) -> int:
+    async def run(self, stop: trio.Event) -> int:
         """Keep until `ends` is set and all have drained (0), or until they crash in a loop (3)."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for child in (self.machine.kept.serving, self.machine.kept.newcomer):
+            for child in (self.keeper.state.serving, self.keeper.state.newcomer):
                 if child is not None and child.pid and is_running(child):
                     self._watch(child)
-            told = False
+            stopping = False
             while True:
-                if ends.is_set() and not told:
-                    told = True
-                    await self._carry_out(self.machine.on_end(trio.current_time()))
-                await self._carry_out(self.machine.on_time(trio.current_time()))
-                kept = self.machine.kept
-                if told and not any(child is not None and is_running(child) for child in (kept.serving, kept.newcomer)):
+                if stop.is_set() and not stopping:
+                    stopping = True
+                    await self._carry_out(self.keeper.on_stop(trio.current_time()))
+                await self._carry_out(self.keeper.on_time(trio.current_time()))
+                state = self.keeper.state
+                if stopping and not any(
+                    child is not None and is_running(child) for child in (state.serving, state.newcomer)
+                ):
                     break
-                if self.machine.lost:
-                    log.error("keeper: it is not started again: %s", self.machine.lost)
+                if self.keeper.failure:
+                    log.error("keeper: it is not started again: %s", self.keeper.failure)
                     break
-                if not told:
-                    await self._look()
+                if not stopping:
+                    await self._poll()
                 with trio.move_on_after(POLL_INTERVAL):
-                    await (ends.wait() if not told else trio.sleep_forever())
+                    await (stop.wait() if not stopping else trio.sleep_forever())
             nursery.cancel_scope.cancel()
-        return 3 if self.machine.lost else 0
+        return 3 if self.keeper.failure else 0
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         """Who answers, and what the fleet orders."""
-        if self.machine.kept.phase == "down":
+        if self.keeper.state.phase == "down":
             return
         order = await self._ask("order")
         if order is None or "pid" not in order:
             return
         if (await call(self.admin, "PING", ANSWER_TIMEOUT)).startswith("OK"):
-            await self._carry_out(self.machine.on_ready(order["pid"], trio.current_time()))
+            await self._carry_out(self.keeper.on_ready(order["pid"], trio.current_time()))
         if order["status"] == "done":
             version = None if order["version"] is None else msgspec.convert(order["version"], Version)
             found = Order(version, order["place"], order["begun"])
-            await self._carry_out(self.machine.on_order(found, trio.current_time()))
+            await self._carry_out(self.keeper.on_order(found, trio.current_time()))
 
     # -- actions
 
@@ -165,19 +167,19 @@
                 await self._start(action)
             elif isinstance(action, End):
                 with suppress(ProcessLookupError):
-                    os.kill(action.pid, signal.SIGKILL if action.hard else signal.SIGTERM)
+                    os.kill(action.pid, signal.SIGKILL if action.kill else signal.SIGTERM)
             else:
-                await self._say(action)
+                await self._call_fleet(action)
 
-    async def _say(self, say: FleetCall) -> None:
-        answer = await self._ask(" ".join((say.what, *say.words)), CHANGE_TIMEOUT)
+    async def _call_fleet(self, fleet_call: FleetCall) -> None:
+        answer = await self._ask(" ".join((fleet_call.what, *fleet_call.words)), CHANGE_TIMEOUT)
         if answer is None:
             return
         if answer["status"] != "done":
-            log.warning("keeper: %s: %s", say.what, answer.get("told", answer["status"]))
-        if say.what == "takes":
+            log.warning("keeper: %s: %s", fleet_call.what, answer.get("told", answer["status"]))
+        if fleet_call.what == "takes":
             point("keeper-taken")
-        await self._carry_out(self.machine.on_said(say, answer["status"], trio.current_time()))
+        await self._carry_out(self.keeper.on_call_result(fleet_call, answer["status"], trio.current_time()))
 
     async def _start(self, start: Start) -> None:
         version = start.child.version
@@ -186,12 +188,12 @@
         environ = {**os.environ, "THISTLESHORE_VERSION": start.child.name}
         command = command or (sys.executable, "-O", "-m", "thistleshore")
         try:
-            if why := forbidden(version, self.plan):
+            if why := forbidden_reason(version, self.plan):
                 raise PermissionError(errno.EPERM, why)
             if shutil.which(command[0]) is None:
                 raise FileNotFoundError(errno.ENOENT, f"there is no command {command[0]}")
             with (self.folder / OUTPUT).open("ab") as output:
-                made = subprocess.Popen(
+                process = subprocess.Popen(
                     [sys.executable, "-S", "-c", LAUNCHER, *command, "serve", "--config", file],
                     stdin=subprocess.PIPE,
                     stdout=output,
@@ -202,31 +204,31 @@
         except OSError as problem:
             log.error("keeper: cannot start %s: %s", start.child.name or "the dispatcher", problem)
             await self._carry_out(
-                self.machine.on_not_started(start.beside, f"cannot be started: {problem.strerror}", trio.current_time())
+                self.keeper.on_not_started(start.beside, f"cannot be started: {problem.strerror}", trio.current_time())
             )
             return
-        child = Child(version, made.pid, start_ticks(made.pid))
-        self._children[made.pid] = made
+        child = Child(version, process.pid, start_ticks(process.pid))
+        self._children[process.pid] = process
         log.info(
             "keeper: started %d as %s%s",
-            made.pid,
+            process.pid,
             child.name or "its first version",
             " beside the one that serves" if start.beside else "",
         )
-        actions = self.machine.on_started(child, start.beside, trio.current_time())
+        actions = self.keeper.on_started(child, start.beside, trio.current_time())
         self._write()
-        assert made.stdin is not None
-        with suppress(OSError), made.stdin:
-            made.stdin.write(b"!")
+        assert process.stdin is not None
+        with suppress(OSError), process.stdin:
+            process.stdin.write(b"!")
         self._watch(child)
         await self._carry_out(actions)
 
     def _watch(self, child: Child) -> None:
         if child.pid not in self._watched:
             self._watched.add(child.pid)
-            self._nursery.start_soon(self._await_end, child)
+            self._nursery.start_soon(self._wait_for_exit, child)
 
-    async def _await_end(self, child: Child) -> None:
+    async def _wait_for_exit(self, child: Child) -> None:
         try:
             handle = os.pidfd_open(child.pid)
         except ProcessLookupError:
@@ -237,31 +239,31 @@
                     await trio.lowlevel.wait_readable(handle)
             finally:
                 os.close(handle)
-        made = self._children.pop(child.pid, None)
-        status = None if made is None else made.wait()
+        process = self._children.pop(child.pid, None)
+        status = None if process is None else process.wait()
         self._watched.discard(child.pid)
         log.info("keeper: %d has ended%s", child.pid, "" if status is None else f" with status {status}")
-        await self._carry_out(self.machine.on_ended(child.pid, status, trio.current_time()))
+        await self._carry_out(self.keeper.on_ended(child.pid, status, trio.current_time()))
 
     def _write(self) -> None:
-        kept = self.machine.kept
-        if kept == self._written:
+        state = self.keeper.state
+        if state == self._written:
             return
-        phase, before = kept.phase, self._written.phase if self._written is not None else "down"
-        made = self.folder / (FILE + ".new")
-        with made.open("wb") as out:
-            out.write(msgspec.json.encode(kept))
+        phase, before = state.phase, self._written.phase if self._written is not None else "down"
+        temporary = self.folder / (FILE + ".new")
+        with temporary.open("wb") as out:
+            out.write(msgspec.json.encode(state))
             out.flush()
             os.fsync(out.fileno())
-        os.replace(made, self.folder / FILE)
-        self._written = kept
+        os.replace(temporary, self.folder / FILE)
+        self._written = state
         if phase != before and phase in POINTS:
             point(POINTS[phase])
 
     # -- questions
 
-    async def _ask(self, what: str, within: float = ANSWER_TIMEOUT) -> dict[str, Any] | None:
-        answer = await call(self.admin, f"FLEET {what}", within)
+    async def _ask(self, what: str, timeout: float = ANSWER_TIMEOUT) -> dict[str, Any] | None:
+        answer = await call(self.admin, f"FLEET {what}", timeout)
         try:
             found = json.loads(answer.split("\n")[0])
         except ValueError:
--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -17,10 +17,10 @@
 
 ReleaseState = Literal["going", "halted", "undoing", "done", "undone"]
 VERSION_NAME = r"^[A-Za-z0-9._-]{1,40}$"
-BASE = ""  # the version that a keeper's own file names
+INITIAL_VERSION = ""  # the version that a keeper's own file names
 
 
-def run_key(kind: str, name: str) -> str:
+def version_key(kind: str, name: str) -> str:
     """Under which the version of a dispatcher or host is kept: no name has a space in it."""
     return name if kind == "dispatcher" else f"{kind} {name}"
 
@@ -79,7 +79,7 @@
     error: float = 0.01  # chance of calling a clean version worse, a wave
 
 
-class Act(msgspec.Struct, frozen=True):
+class HistoryEntry(msgspec.Struct, frozen=True):
     """One change, for the history; `when` is Unix time by the clock of the instance that made it."""
 
     number: int
@@ -127,15 +127,15 @@
     voters: tuple[str, ...]
     limits: Limits = Limits()
     places: tuple[Place, ...] = ()
-    history: tuple[Act, ...] = ()
+    history: tuple[HistoryEntry, ...] = ()
     release: Release | None = None
-    runs: dict[str, str] = {}  # noqa: RUF012 - the version of each, by `run_key`; BASE where it is not named
+    runs: dict[str, str] = {}  # noqa: RUF012 - the version of each, by `version_key`; INITIAL_VERSION where it is not named
     versions: dict[str, Version] = {}  # noqa: RUF012 - those that runs, the release or its way back name
     configuration: Configuration = Configuration()
 
     def version_of(self, kind: str, name: str) -> str:
         """What it runs, as far as it was told."""
-        return self.runs.get(run_key(kind, name), BASE)
+        return self.runs.get(version_key(kind, name), INITIAL_VERSION)
 
     def place(self, kind: str, name: str) -> Place | None:
         return next((place for place in self.places if place.kind == kind and place.name == name), None)
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -14,7 +14,7 @@
     MAX_HISTORY,
     MAX_PLACES,
     MAX_REASON_LENGTH,
-    Act,
+    HistoryEntry,
     FleetObservation,
     Kind,
     Limit,
@@ -25,7 +25,7 @@
 )
 
 
-def allowed(limit: Limit, known: int) -> int:
+def max_allowed(limit: Limit, known: int) -> int:
     """How many of so many; a share that comes to less than one allows one, but 0 % none."""
     if isinstance(limit, int):
         return limit
@@ -34,18 +34,18 @@
 
 
 def with_change(value: Value, what: str, name: str, reason: str, by: str, when: float, **fields: object) -> Value:
-    act = Act(value.number + 1, what, name, reason[:MAX_REASON_LENGTH], by, when)
-    history = (*value.history, act)[-MAX_HISTORY:]
+    entry = HistoryEntry(value.number + 1, what, name, reason[:MAX_REASON_LENGTH], by, when)
+    history = (*value.history, entry)[-MAX_HISTORY:]
     return msgspec.structs.replace(value, number=value.number + 1, history=history, **fields)
 
 
-def _within(limit: str, bound: Limit, known: Iterable[str], out: Iterable[str], name: str) -> Refusal | None:
+def _limit_refusal(limit: str, bound: Limit, known: Iterable[str], out: Iterable[str], name: str) -> Refusal | None:
     """A refusal where one more than those that are out would be too many."""
     others = tuple(sorted(set(out) - {name}))
-    most = allowed(bound, len(set(known) | set(others) | {name}))
-    if len(others) < most:
+    maximum = max_allowed(bound, len(set(known) | set(others) | {name}))
+    if len(others) < maximum:
         return None
-    return Refusal(limit, most, others, f"{limit} allows {most} out, and out are: {', '.join(others) or 'none'}")
+    return Refusal(limit, maximum, others, f"{limit} allows {maximum} out, and out are: {', '.join(others) or 'none'}")
 
 
 def grant(
@@ -60,7 +60,9 @@
         if name not in seen.dispatchers:
             return Refusal("known", 0, (), f"no dispatcher is named {name!r}")
         held = {place.name for place in value.places if place.kind == kind}
-        refused = _within("dispatchers", value.limits.dispatchers, seen.dispatchers, held | seen.dispatchers_down, name)
+        refused = _limit_refusal(
+            "dispatchers", value.limits.dispatchers, seen.dispatchers, held | seen.dispatchers_down, name
+        )
         place = Place(
             kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, life=seen.dispatchers[name], release=release
         )
@@ -78,7 +80,7 @@
                 for place in value.places
                 if place.kind == kind and place.service == service and (limit == "hosts" or place.zone == zone)
             }
-            refused = refused or _within(limit, bound, group, held | (seen.hosts_down & group), name)
+            refused = refused or _limit_refusal(limit, bound, group, held | (seen.hosts_down & group), name)
         place = Place(kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, service, zone, release=release)
     if refused is not None:
         return refused
--- a/thistleshore/releases/standing.py
+++ b/thistleshore/releases/standing.py
@@ -7,19 +7,19 @@
 from thistleshore.fleet import Fleet, Service, State
 from thistleshore.releases.model import FleetObservation
 
-COLD = 2.0  # s after its start for which a host counts as cold, and so as out
+COLD_PERIOD = 2.0  # s after its start for which a host counts as cold, and so as out
 
 
-def standing(fleet: Fleet, broker: Broker, now: float) -> FleetObservation:
+def observe(fleet: Fleet, broker: Broker, now: float) -> FleetObservation:
     """As of now.  Whoever is down, suspect, not ready, cold or shunned by the module counts as out."""
-    lives: dict[str, int] = {}
-    down: set[str] = set()
+    generations: dict[str, int] = {}
+    dispatchers_down: set[str] = set()
     for record in [fleet.me, *(member.record for member in fleet.members.values())]:
         if record.state == State.LEFT and record.by:
             continue  # an operator said that it will not come back
-        lives[record.name] = record.generation
+        generations[record.name] = record.generation
         if record.state != State.ALIVE or record.service != Service.READY:
-            down.add(record.name)
+            dispatchers_down.add(record.name)
     hosts: dict[str, tuple[str, str]] = {}
     hosts_down: set[str] = set()
     for name, host in broker.hosts.items():
@@ -28,8 +28,8 @@
             continue
         hosts[name.decode()] = str(entry.kind), str(entry.zone)
         worker = broker.brain.workers.get(name)
-        cold = entry.started_at > 0.0 and now - entry.started_at < COLD
+        cold = entry.started_at > 0.0 and now - entry.started_at < COLD_PERIOD
         shunned = worker is not None and now < worker.shunned_until
         if entry.state is not HostState.READY or cold or shunned:
             hosts_down.add(name.decode())
-    return FleetObservation(lives, frozenset(down), hosts, frozenset(hosts_down))
+    return FleetObservation(generations, frozenset(dispatchers_down), hosts, frozenset(hosts_down))
--- a/thistleshore/releases/waves.py
+++ b/thistleshore/releases/waves.py
@@ -9,7 +9,7 @@
 
 from thistleshore.releases import places
 from thistleshore.releases.model import (
-    BASE,
+    INITIAL_VERSION,
     MAX_REASON_LENGTH,
     FleetObservation,
     Kind,
@@ -19,7 +19,7 @@
     Release,
     Value,
     Version,
-    run_key,
+    version_key,
 )
 
 ACTIVE_STATES = ("going", "undoing")
@@ -33,7 +33,7 @@
     reason: str = ""
     service: str = ""  # for the ticket workers of this service; for the dispatchers where there is none
     act: tuple[str, ...] = ()  # of ticket workers: the command that brings {version} to {host}
-    former: str = BASE  # of ticket workers: what those run whose version was never told
+    former: str = INITIAL_VERSION  # of ticket workers: what those run whose version was never told
     waves: tuple[Limit, ...] = (1, "5%", "20%", "100%")
     worse: str = "undo"
     within: float = 90.0
@@ -47,7 +47,7 @@
     """A plan that cannot be carried out; the text names the key."""
 
 
-def read(tables: Any) -> Plan:
+def read_plan(tables: Any) -> Plan:
     """A plan from its file's tables, or PlanError."""
     try:
         plan = msgspec.convert(tables, Plan, strict=False)
@@ -76,13 +76,13 @@
 def waves(shares: Iterable[Limit], zones: Mapping[str, str]) -> tuple[tuple[str, ...], ...]:
     """Who goes in which wave: zone after zone, and all at the end whatever the last share says."""
     order = sorted(zones, key=lambda name: (zones[name], name))
-    found, through = [], 0
+    result, count = [], 0
     for share in (*shares, "100%"):
-        most = min(len(order), places.allowed(share, len(order)))
-        if most > through:
-            found.append(tuple(order[through:most]))
-            through = most
-    return tuple(found)
+        maximum = min(len(order), places.max_allowed(share, len(order)))
+        if maximum > count:
+            result.append(tuple(order[count:maximum]))
+            count = maximum
+    return tuple(result)
 
 
 def start(value: Value, plan: Plan, zones: Mapping[str, str], by: str, when: float) -> Value | Refusal:
@@ -91,8 +91,8 @@
     before = value.release
     if before is not None and before.state in ACTIVE_STATES:
         return Refusal("release", 1, (), f"release {before.number} is {before.state}: halt it, or wait for its end")
-    if held := [place.name for place in value.places if place.release]:
-        return Refusal("release", 0, tuple(held), f"of the last release {', '.join(held)} are still midway")
+    if with_place := [place.name for place in value.places if place.release]:
+        return Refusal("release", 0, tuple(with_place), f"of the last release {', '.join(with_place)} are still midway")
     known = value.versions.get(plan.version.name)
     if known is not None and known != plan.version:
         return Refusal("version", 0, (), f"version {plan.version.name} is known with another command or file")
@@ -102,7 +102,9 @@
     if all(version == plan.version.name for version in former.values()):
         return Refusal("version", 0, (), f"all of them have version {plan.version.name}")
     if strange := sorted(
-        name for name, version in former.items() if kind == "dispatcher" and version not in (BASE, *value.versions)
+        name
+        for name, version in former.items()
+        if kind == "dispatcher" and version not in (INITIAL_VERSION, *value.versions)
     ):
         # There would be no way back: a keeper is told a version's command by the register.
         return Refusal("version", 0, tuple(strange), f"what {', '.join(strange)} run is not known to the register")
@@ -132,11 +134,11 @@
 
 def change_state(value: Value, number: int, state: str, told: str, by: str, when: float) -> Value | Refusal:
     """Halt, resume, undo, or end the release of that number; whoever has a place and has not begun gives it back."""
-    now = value.release
-    if now is None or now.number != number:
+    release = value.release
+    if release is None or release.number != number:
         return Refusal("release", 0, (), f"release {number} is not the one under way")
-    wanted = now.halted_in if state == "resume" else state
-    if wanted == now.state:
+    wanted = release.halted_in if state == "resume" else state
+    if wanted == release.state:
         return value  # asked twice is asked once
     allowed = {
         "halted": ACTIVE_STATES,
@@ -145,66 +147,68 @@
         "done": ("going",),
         "undone": ("undoing",),
     }[state]
-    if now.state not in allowed:
-        return Refusal("release", 0, (), f"release {number} is {now.state}")
-    halted_in = now.state if state == "halted" else "undoing" if wanted == "undoing" else "going"
-    after = msgspec.structs.replace(now, state=wanted, told=told[:MAX_REASON_LENGTH], halted_in=halted_in)
+    if release.state not in allowed:
+        return Refusal("release", 0, (), f"release {number} is {release.state}")
+    halted_in = release.state if state == "halted" else "undoing" if wanted == "undoing" else "going"
+    after = msgspec.structs.replace(release, state=wanted, told=told[:MAX_REASON_LENGTH], halted_in=halted_in)
     kept = tuple(place for place in value.places if not place.release or place.begun)
-    return places.with_change(value, f"release {wanted}", now.version.name, told, by, when, release=after, places=kept)
+    return places.with_change(
+        value, f"release {wanted}", release.version.name, told, by, when, release=after, places=kept
+    )
 
 
 def next_wave(value: Value, number: int, wave: int, told: str, by: str, when: float) -> Value | Refusal:
-    now = value.release
-    if now is None or now.number != number or now.state != "going" or now.wave != wave:
+    release = value.release
+    if release is None or release.number != number or release.state != "going" or release.wave != wave:
         return Refusal("release", 0, (), "another has carried it on")
-    after = msgspec.structs.replace(now, wave=wave + 1, told=told)
-    return places.with_change(value, f"release wave {wave + 2}", now.version.name, told, by, when, release=after)
+    after = msgspec.structs.replace(release, wave=wave + 1, told=told)
+    return places.with_change(value, f"release wave {wave + 2}", release.version.name, told, by, when, release=after)
 
 
 def target(value: Value, name: str, kind: Kind = "dispatcher") -> str:
     """The version that it is to have, by the release that is live; else what it has."""
-    now, has = value.release, value.version_of(kind, name)
-    if now is None or now.kind != kind:
-        return has
-    has = has or now.former.get(name, has)
-    if now.state not in ACTIVE_STATES:
-        return has
-    if now.state == "undoing":
-        return now.former.get(name, has)
-    return now.version.name if any(name in wave for wave in now.waves[: now.wave + 1]) else has
+    release, current = value.release, value.version_of(kind, name)
+    if release is None or release.kind != kind:
+        return current
+    current = current or release.former.get(name, current)
+    if release.state not in ACTIVE_STATES:
+        return current
+    if release.state == "undoing":
+        return release.former.get(name, current)
+    return release.version.name if any(name in wave for wave in release.waves[: release.wave + 1]) else current
 
 
 def remaining(value: Value) -> tuple[str, ...]:
     """Who is still to change, in order: in the wave under way, or of the latest wave that is not back."""
-    now = value.release
-    if now is None or now.state not in ACTIVE_STATES:
+    release = value.release
+    if release is None or release.state not in ACTIVE_STATES:
         return ()
-    kind = now.kind
+    kind = release.kind
 
-    def left(name: str) -> bool:
+    def is_remaining(name: str) -> bool:
         # One that has a place is midway, whatever it last ran.
-        has = value.version_of(kind, name) or now.former.get(name, BASE)
-        return has != target(value, name, kind) or _held(value, name, kind) is not None
-
-    if now.state == "going":
-        return tuple(name for name in now.waves[now.wave] if left(name))
-    for wave in reversed(now.waves):
-        if back := tuple(name for name in reversed(wave) if left(name)):
-            return back
+        current = value.version_of(kind, name) or release.former.get(name, INITIAL_VERSION)
+        return current != target(value, name, kind) or _release_place(value, name, kind) is not None
+
+    if release.state == "going":
+        return tuple(name for name in release.waves[release.wave] if is_remaining(name))
+    for wave in reversed(release.waves):
+        if reverting := tuple(name for name in reversed(wave) if is_remaining(name)):
+            return reverting
     return ()
 
 
-def _held(value: Value, name: str, kind: Kind = "dispatcher") -> Place | None:
+def _release_place(value: Value, name: str, kind: Kind = "dispatcher") -> Place | None:
     place = value.place(kind, name)
     return place if place is not None and place.release else None
 
 
 def grant(value: Value, number: int, name: str, by: str, seen: FleetObservation, when: float) -> Value | Refusal:
     """A place for one that is to change."""
-    now = value.release
-    if now is None or now.number != number or name not in remaining(value):
+    release = value.release
+    if release is None or release.number != number or name not in remaining(value):
         return Refusal("release", 0, (), "another has carried it on")
-    return places.grant(value, now.kind, name, f"release of {now.version.name}", by, seen, when, number)
+    return places.grant(value, release.kind, name, f"release of {release.version.name}", by, seen, when, number)
 
 
 class Order(NamedTuple):
@@ -217,14 +221,14 @@
 
 
 def order(value: Value, name: str) -> Order:
-    wanted, place = target(value, name), _held(value, name)
-    version = value.versions.get(wanted) if wanted != BASE else None
+    wanted, place = target(value, name), _release_place(value, name)
+    version = value.versions.get(wanted) if wanted != INITIAL_VERSION else None
     return Order(version, place.number if place is not None else 0, place is not None and place.begun)
 
 
 def arrived(value: Value, name: str, version: str, by: str, when: float, kind: Kind = "dispatcher") -> Value | Refusal:
     """Whoever changed it says what it runs now: a place of the release has served its purpose."""
-    place = _held(value, name, kind)
+    place = _release_place(value, name, kind)
     if place is None and value.version_of(kind, name) == version:
         return value
     kept = tuple(p for p in value.places if p is not place)
@@ -236,7 +240,7 @@
         by,
         when,
         places=kept,
-        runs={**value.runs, run_key(kind, name): version},
+        runs={**value.runs, version_key(kind, name): version},
     )
 
 
@@ -245,7 +249,7 @@
 ) -> Value | Refusal:
     """The change did not come about: it serves on with `version`, and the release halts."""
     after = arrived(value, name, version, by, when, kind)
-    now = value.release
-    if isinstance(after, Refusal) or now is None or now.state not in ACTIVE_STATES:
+    release = value.release
+    if isinstance(after, Refusal) or release is None or release.state not in ACTIVE_STATES:
         return after
-    return change_state(after, now.number, "halted", f"{name}: {told}", by, when)
+    return change_state(after, release.number, "halted", f"{name}: {told}", by, when)
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -16,7 +16,7 @@
 from thistleshore.releases.calls import ReleaseCalls
 from thistleshore.releases.carrier import Releases
 from thistleshore.releases.figures import Counter
-from thistleshore.releases.standing import standing
+from thistleshore.releases.standing import observe
 from thistleshore.wiring.components import Components
 
 VERSION_VARIABLE = "THISTLESHORE_VERSION"  # the environment's, set by a keeper
@@ -63,7 +63,7 @@
         plan=plan.releases,
         name=machine.me.name,
         generation=machine.me.generation,
-        observe=lambda: standing(machine, broker, trio.current_time()),
+        observe=lambda: observe(machine, broker, trio.current_time()),
         ban=control.ban,
         is_clear=control.is_clear,
         ready=components.ready,
