--- a/benchmarks/distribution/fleet.py
+++ b/benchmarks/distribution/fleet.py
@@ -150,14 +150,14 @@
         if not self.nodes[name].alive and self.now >= self._down_until[name]:
             self.restart(name)
 
-    def _durable(self, node: Node, life: int, action: Apply) -> None:
-        super()._durable(node, life, action)
-        if node.machine is not None and node.life == life:
+    def _durable(self, node: Node, generation: int, action: Apply) -> None:
+        super()._durable(node, generation, action)
+        if node.machine is not None and node.generation == generation:
             self.on_durable(node.name)
 
-    def _put(self, node: Node, life: int, action: Apply) -> None:
-        super()._put(node, life, action)
-        if node.machine is not None and node.life == life:
+    def _put(self, node: Node, generation: int, action: Apply) -> None:
+        super()._put(node, generation, action)
+        if node.machine is not None and node.generation == generation:
             self.times.on_in_force(node.name, node.in_force.number, self.now)
 
     # -- the view and the register ----------------------------------------------------------------
--- a/benchmarks/distribution/net.py
+++ b/benchmarks/distribution/net.py
@@ -55,7 +55,7 @@
     def __init__(self, name: str, number: int, zone: str) -> None:
         self.name, self.zone, self.region = name, zone, region_of(zone)
         self.address = ("127.0.0.1", 10_000 + number)
-        self.life = 0  # grows with each start
+        self.generation = 0  # grows with each start
         self.machine: Distributor | None = None
         self.disk: tuple[Stamp, bytes] | None = None
         self.in_force: Stamp = NO_VERSION
@@ -124,7 +124,7 @@
         self._lives = count(1)
         self._reachable: dict[tuple[str, str], bool] = {}
         for node in self.nodes.values():
-            node.life = next(self._lives)
+            node.generation = next(self._lives)
         for node in self.nodes.values():
             others = (other for other in self.nodes.values() if other is not node)
             node.view = {other.name: _peer(other, alive=True) for other in others}
@@ -145,7 +145,7 @@
         for voter in together:
             voter.deposits = {number: kept for number, kept in voter.deposits.items() if number > stamp.number - 8}
             voter.deposits[stamp.number] = body
-            self._schedule(self.random.uniform(*LEARNING), self._agreed, voter, voter.life, stamp, body)
+            self._schedule(self.random.uniform(*LEARNING), self._agreed, voter, voter.generation, stamp, body)
         return stamp.number
 
     def run(self, until: float) -> None:
@@ -181,7 +181,7 @@
         node = self.nodes[name]
         if node.alive:
             self.kill(name)
-        node.life = next(self._lives)
+        node.generation = next(self._lives)
         for other in self.nodes.values():
             if other is not node:
                 node.view[other.name] = _peer(other, alive=self._linked(node, other, starting=True))
@@ -239,8 +239,8 @@
                 return together
         return []
 
-    def _agreed(self, node: Node, life: int, stamp: Stamp, body: bytes) -> None:
-        if node.machine is not None and node.life == life:
+    def _agreed(self, node: Node, generation: int, stamp: Stamp, body: bytes) -> None:
+        if node.machine is not None and node.generation == generation:
             self._carry(node, node.machine.on_agreed(stamp, body, self.now))
 
     # -- lives and disks ---------------------------------------------------------------------------
@@ -256,31 +256,31 @@
         self._carry(node, node.machine.on_view(node.view.values(), self.now))
         if node.deposits and (latest := max(node.deposits)) == self.register.number:
             body = node.deposits[latest]
-            self._schedule(self.random.uniform(*LEARNING), self._agreed, node, node.life, self.register, body)
+            self._schedule(self.random.uniform(*LEARNING), self._agreed, node, node.generation, self.register, body)
 
     def _apply(self, node: Node, action: Apply) -> None:
         reason = node.refuses(action.stamp)
         seconds = self.random.uniform(*WRITING)
         if reason:
-            self._schedule(seconds, self._refused, node, node.life, action.stamp, reason)
+            self._schedule(seconds, self._refused, node, node.generation, action.stamp, reason)
         else:
-            self._schedule(seconds, self._durable, node, node.life, action)
+            self._schedule(seconds, self._durable, node, node.generation, action)
 
-    def _durable(self, node: Node, life: int, action: Apply) -> None:
-        if node.machine is not None and node.life == life:
+    def _durable(self, node: Node, generation: int, action: Apply) -> None:
+        if node.machine is not None and node.generation == generation:
             node.disk = (action.stamp, action.body)
-            self._schedule(self.random.uniform(*PUTTING), self._put, node, life, action)
+            self._schedule(self.random.uniform(*PUTTING), self._put, node, generation, action)
 
-    def _put(self, node: Node, life: int, action: Apply) -> None:
-        if node.machine is not None and node.life == life:
+    def _put(self, node: Node, generation: int, action: Apply) -> None:
+        if node.machine is not None and node.generation == generation:
             node.in_force = action.stamp
             digest = digest_of(action.body)
             self.history.add(InForce(self.now, node.name, action.stamp.number, digest, started=False))
             self._note_spread()
             self._carry(node, node.machine.on_applied(action.stamp, self.now))
 
-    def _refused(self, node: Node, life: int, stamp: Stamp, reason: str) -> None:
-        if node.machine is not None and node.life == life:
+    def _refused(self, node: Node, generation: int, stamp: Stamp, reason: str) -> None:
+        if node.machine is not None and node.generation == generation:
             self._carry(node, node.machine.on_refused(stamp, reason, self.now))
 
     def _note_spread(self) -> None:
@@ -305,14 +305,14 @@
             others = [only] if only is not None and a is not only else self.nodes.values()
             for b in others:
                 if a is not b:
-                    (seen if self._linked(a, b) else lost).append((a, b, b.life))
+                    (seen if self._linked(a, b) else lost).append((a, b, b.generation))
         self._schedule(self.join_seen, self._see, seen, True)
         self._schedule(self.death_seen, self._see, lost, False)
 
     def _see(self, pairs: Sequence[tuple[Node, Node, int]], alive: bool) -> None:
         changed: set[str] = set()
-        for a, b, life in pairs:
-            if b.life == life and a.alive and self._linked(a, b) == alive:
+        for a, b, generation in pairs:
+            if b.generation == generation and a.alive and self._linked(a, b) == alive:
                 peer = _peer(b, alive)
                 if a.view.get(b.name) != peer:
                     a.view[b.name] = peer
@@ -371,10 +371,10 @@
         assert node.machine is not None
         if node.machine.due < node.armed:
             node.armed = max(self.now, node.machine.due)
-            self._schedule(node.armed - self.now, self._fire, node, node.life, node.armed)
+            self._schedule(node.armed - self.now, self._fire, node, node.generation, node.armed)
 
-    def _fire(self, node: Node, life: int, armed: float) -> None:
-        if node.machine is None or node.life != life or node.armed != armed:
+    def _fire(self, node: Node, generation: int, armed: float) -> None:
+        if node.machine is None or node.generation != generation or node.armed != armed:
             return
         node.armed = inf
         if node.machine.due <= self.now:
@@ -387,7 +387,7 @@
 
 
 def _peer(node: Node, alive: bool) -> Peer:
-    return Peer(node.name, node.address, node.zone, node.life, alive)
+    return Peer(node.name, node.address, node.zone, node.generation, alive)
 
 
 def _spread_over_zones(nodes: Iterable[Node], most: int) -> list[str]:
--- a/benchmarks/distribution/stories.py
+++ b/benchmarks/distribution/stories.py
@@ -43,11 +43,11 @@
     """Instances that put a version in force, and say so, before it is durable: a death in between loses it."""
 
     def _apply(self, node: Node, action: Apply) -> None:
-        self._schedule(self.random.uniform(*PUTTING), self._put, node, node.life, action)
-        self._schedule(PUTTING[1] + self.random.uniform(*WRITING), self._write, node, node.life, action)
+        self._schedule(self.random.uniform(*PUTTING), self._put, node, node.generation, action)
+        self._schedule(PUTTING[1] + self.random.uniform(*WRITING), self._write, node, node.generation, action)
 
-    def _write(self, node: Node, life: int, action: Apply) -> None:
-        if node.alive and node.life == life:
+    def _write(self, node: Node, generation: int, action: Apply) -> None:
+        if node.alive and node.generation == generation:
             node.disk = (action.stamp, action.body)
 
 
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -375,7 +375,7 @@
         for reply in held.values():
             for report in reply.reports:
                 other = self.reports.get(report.name)
-                if other is None or (report.life, report.applied) >= (other.life, other.applied):
+                if other is None or (report.generation, report.applied) >= (other.generation, other.applied):
                     self.reports[report.name] = report
         voting = {voter: reply for voter, reply in held.items() if not reply.why and reply.value is not None}
         if not voting:
@@ -426,8 +426,8 @@
             return  # without a majority that says so now, nobody begins
         if place.release:
             return  # its keeper takes it, and says what became of the change: until then nobody else may go out
-        if place.begun or place.life != self.generation:
-            if place.life != self.generation and self.ready():
+        if place.begun or place.generation != self.generation:
+            if place.generation != self.generation and self.ready():
                 # Its holder serves again: what was a place to be out is of no use any more.
                 back = "serves again"
                 await self.change(lambda v: places.free(v, "dispatcher", self.name, back, self.name, time.time()))
--- a/thistleshore/releases/messages.py
+++ b/thistleshore/releases/messages.py
@@ -23,7 +23,7 @@
     """What an instance says of itself with each look: up to which change it has acted, and where it sends no more."""
 
     name: str
-    life: int
+    generation: int = msgspec.field(name="life")
     applied: int
     clear: tuple[str, ...] = ()  # hosts that are out and at which nothing of it is left
     figures: Figures | None = None
--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -43,7 +43,7 @@
     number: int
     service: str = ""
     zone: str = ""
-    life: int = 0  # of a dispatcher, when it was given
+    generation: int = msgspec.field(name="life", default=0)  # of a dispatcher, when it was given
     begun: bool = False
     release: int = 0  # of the release that it is for: the keeper goes, the dispatcher does not drain by itself
 
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -64,7 +64,13 @@
             "dispatchers", value.limits.dispatchers, seen.dispatchers, held | seen.dispatchers_down, name
         )
         place = Place(
-            kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, life=seen.dispatchers[name], release=release
+            kind,
+            name,
+            reason[:MAX_REASON_LENGTH],
+            by,
+            value.number + 1,
+            generation=seen.dispatchers[name],
+            release=release,
         )
     else:
         if name not in seen.hosts:
