--- a/benchmarks/capacity/pure.py
+++ b/benchmarks/capacity/pure.py
@@ -70,7 +70,10 @@
     terms, points = Terms(), []
     for count in sizes:
         rows = [settling(count, terms, seed, Fleet) for seed in range(seeds)]
-        values = {"crash_bound_s": round(terms.detected(count), 1), "heal_bound_s": round(terms.healed(count), 1)}
+        values = {
+            "crash_bound_s": round(terms.detection_bound(count), 1),
+            "heal_bound_s": round(terms.healing_bound(count), 1),
+        }
         for key, what in (("crash", "crash"), ("join", "join"), ("heal", "healed cut")):
             took = sorted(row[what] for row in rows if row[what] is not None)
             if len(took) == len(rows):
@@ -95,7 +98,7 @@
             for number, name in enumerate(names):
                 if number % ZONES == gone:
                     net.kill(name)
-            took.append(net.run_until(net.settled, 4 * Terms().detected(count), 0.25))
+            took.append(net.run_until(net.settled, 4 * Terms().detection_bound(count), 0.25))
         settled = sorted(value for value in took if value is not None)
         values = {"settled_share": round(len(settled) / seeds, 3)}
         if settled:
@@ -115,7 +118,7 @@
         net.run(net.now + seconds)
         cut_bytes = (net.counts["bytes"] - begun) / seconds / count
         net.cut = lambda a, b: False
-        took = net.run_until(net.settled, 4 * Terms().healed(count), 0.25)
+        took = net.run_until(net.settled, 4 * Terms().healing_bound(count), 0.25)
         values = {"cut_bytes": round(cut_bytes, 1), "settled_share": float(took is not None)}
         if took is not None:
             values["heal_s"] = round(took, 2)
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -418,5 +418,5 @@
         return Row(
             requirement, "fleet/carrier.py", figure, MEASURED, f"{found.most_s:.0f} s", None, "over: not reached"
         )
-    bound = Terms().healed(found.hollow + found.whole)
+    bound = Terms().healing_bound(found.hollow + found.whole)
     return judged(requirement, "fleet/carrier.py", view, "s", bound)
--- a/benchmarks/checks/fleet.py
+++ b/benchmarks/checks/fleet.py
@@ -28,7 +28,7 @@
 
 from benchmarks.checks.command import FLAWED, Findings, run
 from thistleshore.fleet import Fleet, Record, Service, State, Terms
-from thistleshore.fleet.model import Seen
+from thistleshore.fleet.model import Observation
 
 NAMES = ("a", "b", "c")
 BOUNDS = {"incarnations": 2, "lives": 2}  # of the states that are explored
@@ -37,30 +37,30 @@
 class Stubborn(Fleet):
     """Refutes with the incarnation that it had."""
 
-    def _say(self, now: float, state: int = 0, service: int | None = None) -> None:
-        self._told_anew(now)
+    def _announce(self, now: float, state: int = 0, service: int | None = None) -> None:
+        self._own_record_changed(now)
 
 
 class Gullible(Fleet):
     """Believes whatever came last."""
 
-    def _take(self, record: Record, now: float) -> None:
+    def _merge(self, record: Record, now: float) -> None:
         member = self.members.get(record.name)
-        if member is not None and record.name != self.me.name:
+        if member is not None and record.name != self.own_record.name:
             member.record = record
             self._digest = self._buckets = None
         else:
-            super()._take(record, now)
+            super()._merge(record, now)
 
 
 class Hasty(Fleet):
     """Takes a member's own word for younger than a suspicion of the same incarnation."""
 
-    def _take(self, record: Record, now: float) -> None:
+    def _merge(self, record: Record, now: float) -> None:
         member = self.members.get(record.name)
         if member is not None and record.state == State.ALIVE and record.order[:2] == member.record.order[:2]:
             member.record = record
-        super()._take(record, now)
+        super()._merge(record, now)
 
 
 def cloned(node: Fleet) -> Fleet:
@@ -68,9 +68,9 @@
     made = copy.copy(node)
     made.members = {name: copy.copy(member) for name, member in node.members.items()}
     for member in made.members.values():
-        member.by = set(member.by)
-    made._troubled = {name: made.members[name] for name in node._troubled}
-    made._gossip, made.told, made._out = dict(node._gossip), node.told.copy(), []
+        member.suspected_by = set(member.suspected_by)
+    made._not_alive = {name: made.members[name] for name in node._not_alive}
+    made._gossip, made.recent_events, made._actions = dict(node._gossip), node.recent_events.copy(), []
     return made
 
 
@@ -84,16 +84,16 @@
         for n, name in enumerate(NAMES):
             self.nodes[name] = self._made(name, n, 1)
         for name, node in self.nodes.items():
-            self.told.add(node.me)
+            self.told.add(node.own_record)
             for other in NAMES:
                 if other != name:
-                    node._take(self.nodes[other].me, 0.0)
+                    node._merge(self.nodes[other].own_record, 0.0)
 
     def _made(self, name: str, number: int, generation: int) -> Fleet:
         me = Record(name, "127.0.0.1", 1 + number, "", generation, 0, State.ALIVE, Service.READY, 2, "1")
         made = self.kind("f", me, Terms(), [], 0.0)
-        made.quiet = False
-        made._out.clear()
+        made.observing = False
+        made._actions.clear()
         return made
 
     def steps(self) -> Iterator[tuple[str, World]]:
@@ -104,17 +104,19 @@
                     yield f"{name} suspects {other}", self._with(lambda w, n=name, o=other: w.suspect(n, o))  # type: ignore[misc]
                 elif member.record.state == State.SUSPECT:
                     yield f"{name} gives {other} up", self._with(lambda w, n=name, o=other: w.give_up(n, o))  # type: ignore[misc]
-            if node.me.generation < BOUNDS["lives"]:
+            if node.own_record.generation < BOUNDS["lives"]:
                 yield f"{name} restarts", self._with(lambda w, n=name: w.restart(n))  # type: ignore[misc]
             for record in sorted(self.told, key=lambda r: (r.name, r.order)):
-                held = node.me if record.name == name else getattr(node.members.get(record.name), "record", None)
+                held = (
+                    node.own_record if record.name == name else getattr(node.members.get(record.name), "record", None)
+                )
                 if held is not None and record != held and not (record.name == name and self._spent(node)):
                     told = f"{name} hears of {record.name} {record.order}"
                     yield told, self._with(lambda w, n=name, r=record: w.deliver(n, r))  # type: ignore[misc]
 
     @staticmethod
     def _spent(node: Fleet) -> bool:
-        return node.me.incarnation >= BOUNDS["incarnations"]
+        return node.own_record.incarnation >= BOUNDS["incarnations"]
 
     def _with(self, act: Any) -> World:
         made = copy.copy(self)
@@ -124,40 +126,42 @@
         return made
 
     def suspect(self, name: str, other: str) -> None:
-        self._hold(name, other, State.SUSPECT, Seen.UNANSWERED)
+        self._hold(name, other, State.SUSPECT, Observation.UNANSWERED)
 
     def give_up(self, name: str, other: str) -> None:
-        self._hold(name, other, State.DEAD, Seen.EXPIRED)
+        self._hold(name, other, State.DEAD, Observation.EXPIRED)
 
-    def _hold(self, name: str, other: str, state: State, seen: Seen) -> None:
+    def _hold(self, name: str, other: str, state: State, seen: Observation) -> None:
         node = self.nodes[name]
         member = node.members[other]
-        node._turn(member, msgspec.structs.replace(member.record, state=int(state), by=name), seen, 0.0)
+        node._apply(member, msgspec.structs.replace(member.record, state=int(state), by=name), seen, 0.0)
         self._say(name)
 
     def restart(self, name: str) -> None:
         """It knows nobody but its seeds, which are the others."""
         before = self.nodes[name]
-        made = self._made(name, NAMES.index(name), before.me.generation + 1)
+        made = self._made(name, NAMES.index(name), before.own_record.generation + 1)
         for other in NAMES:
             if other != name:
-                made._take(self.nodes[other].me, 0.0)
+                made._merge(self.nodes[other].own_record, 0.0)
         self.nodes[name] = made
         self._say(name)
 
     def deliver(self, name: str, record: Record) -> None:
-        self.nodes[name]._take(record, 0.0)
+        self.nodes[name]._merge(record, 0.0)
         self._say(name)
 
     def _say(self, name: str) -> None:
         node = self.nodes[name]
-        node._out.clear()
+        node._actions.clear()
         # Who suspects it does not matter to what may follow.
-        self.told |= {msgspec.structs.replace(r, by="") for r in (node.me, *(m.record for m in node.members.values()))}
+        self.told |= {
+            msgspec.structs.replace(r, by="") for r in (node.own_record, *(m.record for m in node.members.values()))
+        }
 
     def shape(self) -> Any:
         views = tuple(
-            (node.me.order, tuple(sorted((n, m.record.order) for n, m in node.members.items())))
+            (node.own_record.order, tuple(sorted((n, m.record.order) for n, m in node.members.items())))
             for node in self.nodes.values()
         )
         return views, frozenset((r.name, r.order) for r in self.told)
@@ -166,16 +170,17 @@
         """What does not hold here; "" where all does."""
         for name, node in self.nodes.items():
             for other, member in node.members.items():
-                if member.record.order[:2] > self.nodes[other].me.order[:2]:
-                    return f"{name} holds {other} {member.record.order}, which is only {self.nodes[other].me.order}"
-                if before is not None and before.nodes[name].me.generation == node.me.generation:
+                own = self.nodes[other].own_record
+                if member.record.order[:2] > own.order[:2]:
+                    return f"{name} holds {other} {member.record.order}, which is only {own.order}"
+                if before is not None and before.nodes[name].own_record.generation == node.own_record.generation:
                     held = before.nodes[name].members.get(other)
                     if held is not None and held.record.order > member.record.order:
                         return f"{name} goes back on {other}: {held.record.order} to {member.record.order}"
         healed = self._with(lambda w: w.heal())
         for name, node in healed.nodes.items():
             for other, member in node.members.items():
-                if member.record.order != healed.nodes[other].me.order or member.record.state != State.ALIVE:
+                if member.record.order != healed.nodes[other].own_record.order or member.record.state != State.ALIVE:
                     return f"it does not heal: {name} holds {other} {member.record.order}"
         return ""
 
@@ -184,9 +189,9 @@
             for node in self.nodes.values():
                 for other in self.nodes.values():
                     if other is not node:
-                        for record in [other.me, *(m.record for m in other.members.values())]:
-                            node._take(record, 0.0)
-                        node._out.clear()
+                        for record in [other.own_record, *(m.record for m in other.members.values())]:
+                            node._merge(record, 0.0)
+                        node._actions.clear()
 
 
 def explore(kind: type[Fleet], most: int) -> dict[str, Any]:
--- a/benchmarks/distribution/real.py
+++ b/benchmarks/distribution/real.py
@@ -95,7 +95,7 @@
     """Start all processes and begin the register; on a machine that is busy this takes a while, and is no finding."""
     rig.start()
     with trio.fail_after(STARTS_WITHIN):
-        while await rig.settle(STARTED + rig.terms.healed(rig.world.processes), "first start") is None:
+        while await rig.settle(STARTED + rig.terms.healing_bound(rig.world.processes), "first start") is None:
             pass
     await rig.begin()
 
@@ -227,7 +227,7 @@
 
 def converges_within(rig: Rig) -> float:
     """s from the end of all faults: processes start, the view settles, and then the time that is asked."""
-    return STARTED + rig.terms.healed(rig.world.processes) + EVERYWHERE_WITHIN
+    return STARTED + rig.terms.healing_bound(rig.world.processes) + EVERYWHERE_WITHIN
 
 
 async def drawn(seed: int, folder: Path) -> dict[str, Any]:
@@ -250,7 +250,7 @@
             rig.heal()
             rig.start()
             took = await run.operators.together(run.names, converges_within(rig))
-            await rig.settle(rig.terms.healed(rig.world.processes), "after the faults")
+            await rig.settle(rig.terms.healing_bound(rig.world.processes), "after the faults")
             answer, everywhere = await run.last_push()
             nursery.cancel_scope.cancel()
         await run.operators.end(rig.running())
@@ -421,7 +421,7 @@
             lived = [name for name in run.names if name not in (dies, other)]
             nursery.start_soon(_among, run.operators, answer.number, run.names, run.spreading)
             nursery.start_soon(_among, run.operators, answer.number, lived, run.more["who lived through"])
-        await run.rig.settle(STARTED + run.rig.terms.healed(len(run.names)), "after a change")
+        await run.rig.settle(STARTED + run.rig.terms.healing_bound(len(run.names)), "after a change")
 
 
 async def _dies(run: Latency, name: str, at: float) -> None:
--- a/benchmarks/fleet/heartbeats.py
+++ b/benchmarks/fleet/heartbeats.py
@@ -28,11 +28,11 @@
     def __init__(
         self, fleet: str, me: Record, terms: Terms, seeds: Sequence[Address], now: float, seed: int = 0
     ) -> None:
-        self.fleet, self.me, self.terms, self.seeds = fleet, me, terms, [s for s in seeds if s != me.address]
+        self.fleet, self.own_record, self.terms, self.seeds = fleet, me, terms, [s for s in seeds if s != me.address]
         self.members: dict[str, _Other] = {}
         self.counts: Counter[str] = Counter()
         self.due = now
-        self.quiet = False
+        self.observing = False
 
     @property
     def digest(self) -> int:
@@ -43,7 +43,7 @@
         return 2 * len(self.living()) > len(self.members) + 1
 
     def living(self) -> list[Record]:
-        return [self.me, *(m.record for m in self.members.values() if m.record.state == State.ALIVE)]
+        return [self.own_record, *(m.record for m in self.members.values() if m.record.state == State.ALIVE)]
 
     def on_time(self, now: float) -> list[Action]:
         out: list[Action] = []
@@ -53,7 +53,9 @@
                 member.record = msgspec.structs.replace(member.record, state=int(State.DEAD))
                 out.append(Changed("died", member.record.name))
         known = {member.record.address for member in self.members.values()}
-        data = json.dumps([msgspec.structs.astuple(self.me), sorted(known | {self.me.address})]).encode()
+        data = json.dumps(
+            [msgspec.structs.astuple(self.own_record), sorted(known | {self.own_record.address})]
+        ).encode()
         out += [Send(address, data) for address in known | set(self.seeds)]
         self.due = now + self.terms.period
         return out
@@ -67,7 +69,7 @@
             if member is None or member.record.state != State.ALIVE:
                 out.append(Changed("joined" if member is None else "returned", record.name))
             self.members[record.name] = _Other(record, now)
-        known = {m.record.address for m in self.members.values()} | set(self.seeds) | {self.me.address}
+        known = {m.record.address for m in self.members.values()} | set(self.seeds) | {self.own_record.address}
         self.seeds += [address for address in map(tuple, addresses) if address not in known]
         return out
 
--- a/benchmarks/fleet/real.py
+++ b/benchmarks/fleet/real.py
@@ -41,20 +41,20 @@
         pick, row = random.Random(seed), dict[str, float | None]()
         gone = pick.choice(names)
         rig.kill(gone)
-        row["crash"] = await rig.settle(2 * terms.detected(count))
+        row["crash"] = await rig.settle(2 * terms.detection_bound(count))
         rig.start(gone)
         # From when it first answers: how long Python takes to start is no matter of the protocol.
         await rig.until(lambda gone=gone: gone in rig.views, STARTED)  # type: ignore[misc]
-        row["join"] = await rig.settle(2 * terms.healed(count))
+        row["join"] = await rig.settle(2 * terms.healing_bound(count))
         await rig.fault(Fault("stop", 0.0, [pick.choice(names)], 3.0))
-        row["stop and return"] = await rig.settle(2 * terms.healed(count))
+        row["stop and return"] = await rig.settle(2 * terms.healing_bound(count))
         some = pick.sample(names, max(1, count // 2))
         others = [name for name in names if name not in some]
         rig.cut(some, others)
-        bound = terms.detected(count) + terms.spread(count)
+        bound = terms.detection_bound(count) + terms.spread_bound(count)
         await rig.until(lambda: rig.agreed(some) and rig.agreed(others), bound)  # noqa: B023
         rig.heal()
-        row["healed cut"] = await rig.settle(2 * terms.healed(count))
+        row["healed cut"] = await rig.settle(2 * terms.healing_bound(count))
         found.append(row)
 
 
--- a/benchmarks/fleet/virtual.py
+++ b/benchmarks/fleet/virtual.py
@@ -46,7 +46,7 @@
     net = Net(names, terms, seed, 0.0, kind)
     for name in names:
         net.start(name, names[:3])
-    net.run_until(net.settled, 4 * terms.healed(count))
+    net.run_until(net.settled, 4 * terms.healing_bound(count))
     net.run(net.now + 3 * terms.period)
     net.loss = loss
     return net
@@ -57,7 +57,7 @@
     net = made(count, terms, seed, kind)
     names, pick = list(net.nodes), random.Random(seed).choice
     step = terms.period / (20 if count <= 40 else 2)
-    most, found = 4 * (terms.detected(count) + terms.healed(count)), dict[str, float | None]()
+    most, found = 4 * (terms.detection_bound(count) + terms.healing_bound(count)), dict[str, float | None]()
 
     def wait(what: str) -> None:
         found[what] = net.run_until(net.settled, most, step)
@@ -73,7 +73,7 @@
     net.run(net.now + 15 * terms.period)
     wait("stop and return")
     net.cut = halves(names)
-    net.run(net.now + terms.detected(count))
+    net.run(net.now + terms.detection_bound(count))
     net.cut = lambda a, b: False
     wait("healed cut")
     return found
@@ -171,12 +171,12 @@
         net.at(net.now + 0.25 * n, sample)
     net.run(ends + 0.01)
     net.loss = net.repeat = 0.0
-    bound = terms.detected(count) + terms.healed(count)
+    bound = terms.detection_bound(count) + terms.healing_bound(count)
     took = net.run_until(net.settled, 2 * bound, 0.02)
     net.run(net.now + 2.0)
     live = [name for name in names if net.nodes[name].machine is not None]
     dead = [
-        (m.me.name, name)
+        (m.own_record.name, name)
         for m in net.live()
         for name, other in m.members.items()
         if other.record.state >= 2 and name in live
@@ -222,10 +222,10 @@
             runs = [settling(count, terms, seed, kind) for seed in seeds]
             row: dict[str, Any] = {what: spread([run[what] for run in runs]) for what in runs[0]}
             row["bound"] = {
-                "crash": terms.detected(count),
-                "join": terms.healed(count),
-                "stop and return": terms.healed(count),
-                "healed cut": terms.healed(count),
+                "crash": terms.detection_bound(count),
+                "join": terms.healing_bound(count),
+                "stop and return": terms.healing_bound(count),
+                "healed cut": terms.healing_bound(count),
             }
             row["cost"] = cost(count, terms, 1, kind)
             if count <= 40:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -19,7 +19,7 @@
     """Nobody refutes what is said of it: `settled`, `living`."""
     from thistleshore.fleet.machine import Fleet
 
-    Fleet._about_me = lambda self, record, now: None  # type: ignore[method-assign]
+    Fleet._on_own_record = lambda self, record, now: None  # type: ignore[method-assign]
 
 
 def silent() -> None:
--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -278,7 +278,7 @@
 
     def __init__(self) -> None:
         me = Record("me", "127.0.0.1", 1, "a", 1, 0, int(State.ALIVE), int(Service.READY), 2, "1")
-        self.machine = SimpleNamespace(me=me, members={})
+        self.machine = SimpleNamespace(own_record=me, members={})
         self.plan = SimpleNamespace(name="fleet")
         self.changes, self._receive = trio.open_memory_channel[object](16)
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -560,10 +560,10 @@
         rig.cut(small, large)
         no = await rig.told("p4", 'start {"version":{"name":"v3"}}')
         assert no is None or no["status"] == "no-majority", no
-        found = await until(rig, "p2", state("halted"), 15.0 + rig.terms.detected(5) + 2 * THROUGH)
+        found = await until(rig, "p2", state("halted"), 15.0 + rig.terms.detection_bound(5) + 2 * THROUGH)
         assert found["release"]["told"]
         rig.heal()
-        assert await rig.settle(rig.terms.healed(5)) is not None
+        assert await rig.settle(rig.terms.healing_bound(5)) is not None
         # A limit that is lowered holds it; words in opposite order at two instances end in one of them, everywhere.
         done(await rig.told("p1", 'limits {"dispatchers":0}'))
         done(await rig.told("p4", "resume it is whole"))
@@ -576,7 +576,7 @@
             kept(rig, name).crash_keeper()
         rig.kill(*rig.processes)
         rig.start()
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         # Whoever was midway fails by that, which halts it; a word has it go on.
         for _ in range(3):
             found = await until(rig, "p3", state("done", "halted"), 5 * THROUGH + 10.0)
@@ -609,7 +609,7 @@
                 await trio.sleep(0.2)
         assert found["release"]["state"] == "done", found
         assert sorted(file.name for file in tmp_path.glob("died-*")) == sorted(f"died-{n}" for n in points)
-        assert await rig.settle(rig.terms.healed(4) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(4) + STARTED) is not None
 
     points = {point: "p0" if point.startswith("driver") else f"p{n % 4}" for n, point in enumerate(POINTS)}
     tmp_path.mkdir(parents=True, exist_ok=True)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -449,7 +449,7 @@
         assert (await rig.told("p1", f"drain dispatcher {gone} again"))["status"] == "done"
         rig.start(gone)
         await agreed(rig, "p2", lambda found: not found["places"], STARTED + 10.0)
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
 
         # A host: out once every live dispatcher has said so, and then nothing comes to it.
         assert (await rig.told("p1", "drain host w0 disk"))["status"] == "done"
@@ -461,7 +461,7 @@
         rig.truth.add("fault", kind="kill", who=["p4"], to=[], amount=1, until=rig.truth.now + 4.0)
         rig.kill("p4")
         rig.start("p4")
-        assert await rig.settle(rig.terms.detected(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.detection_bound(5) + STARTED) is not None
         await agreed(rig, "p4", has("host", "w0", "out"))
         sent = [row for row in of(rig.truth.rows, "sent") if row["worker"] == "w0" and row["t"] > since]
         assert {row["by"] for row in sent} <= {"p4"} and len(sent) < 20
@@ -488,7 +488,7 @@
         assert not (await rig.told("p0", "out"))["agreed"]
         # The others give it a place: its holder has no majority, and does not begin.
         excuse(rig, "p0")
-        assert await rig.settle(rig.terms.detected(5) + rig.terms.spread(5), among=others) is not None
+        assert await rig.settle(rig.terms.detection_bound(5) + rig.terms.spread_bound(5), among=others) is not None
         given = await rig.told("p1", "drain dispatcher p0 from here")
         assert given["status"] == "done" and given["state"] == "given"
         await trio.sleep(1.5)
@@ -496,7 +496,7 @@
         assert (await rig.told("p2", "drain dispatcher p4 too"))["status"] == "refused"
         assert (await rig.told("p1", "return dispatcher p0 never mind"))["status"] == "done"
         rig.heal()
-        assert await rig.settle(rig.terms.healed(5)) is not None
+        assert await rig.settle(rig.terms.healing_bound(5)) is not None
         await agreed(rig, "p0", lambda found: found["agreed"] and not found["places"])
 
         # The holder of a place is killed: the place stays, over the death of all, until it serves again.
@@ -505,7 +505,7 @@
         rig.kill(*rig.processes)
         (tmp_path / "register-p2" / FILE).unlink()  # and one disk is lost
         rig.start()
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         found = await agreed(rig, "p4", has("host", "w2", "out"))
         assert found["voters"] == ["p0", "p1", "p2"]
         assert "lost" in (await rig.told("p2", "out"))["votes_here"]
@@ -540,12 +540,12 @@
         # A file that was set back has promised what it does not know of: it does not vote until it is taken in.
         file["p1"].write_bytes(old)
         rig.start("p1")
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         rig.kill("p2")
         no = await rig.told("p4", "drain host w1 disk")
         assert no["status"] == "no-majority" and "older copy" in no["told"], no
         rig.start("p2")
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         found = await rig.told("p4", "voters p1")
         assert found["status"] == "done", found
         rig.kill("p2")
@@ -565,7 +565,7 @@
         assert await rig.until(lambda: not rig.agreed(["p0"]), 6.0) is not None  # it counts as out
         assert (await rig.told("p1", "return dispatcher p4 never mind"))["status"] == "done"
         rig.go_on("p4")
-        assert await rig.settle(rig.terms.healed(5)) is not None
+        assert await rig.settle(rig.terms.healing_bound(5)) is not None
         assert rig.processes["p4"].lives and (await rig.call("p4", "PING")).startswith("OK")
         # Its holder dies in its drain: the place stays until it serves again.
         assert (await rig.told("p0", "drain dispatcher p4 kernel"))["status"] == "done"
@@ -576,13 +576,13 @@
         rig.start("p4")
         await agreed(rig, "p1", lambda found: not found["places"], STARTED + 10.0)
         # One that crashed by itself fills the limit, and so does a limit that is lowered.
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         rig.kill("p3")
-        assert await rig.settle(rig.terms.detected(5)) is not None
+        assert await rig.settle(rig.terms.detection_bound(5)) is not None
         no = await rig.told("p0", "drain dispatcher p4 kernel")
         assert no["status"] == "refused" and no["out"] == ["p3"]
         rig.start("p3")
-        assert await rig.settle(rig.terms.healed(5) + STARTED) is not None
+        assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         assert (await rig.told("p1", 'limits {"dispatchers":0,"hosts":1}'))["status"] == "done"
         assert (await rig.told("p0", "drain dispatcher p4 kernel"))["status"] == "refused"
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -73,39 +73,39 @@
             rig.cut(["p0"], ["p1"], both=False)
             await trio.sleep(1.5)
         rig.heal()
-        await settles(rig, terms.spread(5), "after a one-way cut and a hog")
+        await settles(rig, terms.spread_bound(5), "after a one-way cut and a hog")
         assert deaths(rig) == set()
 
         await rig.fault(Fault("stop", 0.0, ["p1"], 0.5))
-        await settles(rig, terms.healed(5), "after a stop of 0.5 s")
+        await settles(rig, terms.healing_bound(5), "after a stop of 0.5 s")
         assert deaths(rig) == set()
 
         rig.truth.add("fault", kind="kill", who=["p3"], to=[], amount=1, until=rig.truth.now + 3)
         rig.kill("p3")
         await rig.term("p3")  # it is dead: how it ended was not by this
-        await settles(rig, terms.detected(5), "after a crash")
+        await settles(rig, terms.detection_bound(5), "after a crash")
         rig.start("p3")
-        await settles(rig, terms.healed(5) + STARTED, "after a return")
+        await settles(rig, terms.healing_bound(5) + STARTED, "after a return")
         assert {m["name"]: m["life"] > lives[m["name"]] for m in rig.views["p0"]["members"]} == {
             name: name == "p3" for name in everywhere
         }
 
         small, large = ["p1", "p3"], ["p0", "p2", "p4"]
         rig.cut(small, large)
-        await settles(rig, terms.detected(5) + terms.spread(5), "halves: the greater", large)
-        await settles(rig, terms.detected(5) + terms.spread(5), "halves: the smaller", small)
+        await settles(rig, terms.detection_bound(5) + terms.spread_bound(5), "halves: the greater", large)
+        await settles(rig, terms.detection_bound(5) + terms.spread_bound(5), "halves: the smaller", small)
         assert [rig.views[name]["majority"] for name in everywhere] == [True, False, True, False, True]
         # SIGTERM in the cut, and back under its name while it lasts.
         rig.truth.add("fault", kind="term", who=["p3"], to=[], amount=1, until=rig.truth.now + 4)
         await rig.term("p3")
         rig.start("p3")
-        await settles(rig, terms.detected(5) + STARTED, "back within the cut", small)
+        await settles(rig, terms.detection_bound(5) + STARTED, "back within the cut", small)
         rig.heal()
-        await settles(rig, terms.healed(5), "after the cut is healed")
+        await settles(rig, terms.healing_bound(5), "after the cut is healed")
 
         before = deaths(rig, "p2")
         await rig.fault(Fault("stop", 0.0, ["p2"], 3.0))
-        await settles(rig, terms.healed(5), "after a stop of 3 s")
+        await settles(rig, terms.healing_bound(5), "after a stop of 3 s")
         assert deaths(rig, "p2") == before  # it judged nobody by the time that it was stopped
 
     rig = await with_rig(world, tmp_path, scenario, load=200.0)
@@ -133,7 +133,7 @@
             await ready()
         before.signal(signal.SIGTERM)
         assert await before.ended(12.0) == 0
-        await settles(rig, terms.spread(6), "after a hot restart")
+        await settles(rig, terms.spread_bound(6), "after a hot restart")
         said = [
             m
             for row in of(rig.truth.rows, "view")
@@ -148,28 +148,31 @@
         rig.kill(*names)
         rig.processes["p3"].command = (*MUTANT, "clock_back")
         rig.start()
-        await settles(rig, terms.healed(6) + STARTED, "after all were killed")
+        await settles(rig, terms.healing_bound(6) + STARTED, "after all were killed")
         assert all(m["life"] > lives[m["name"]] or m["name"] == "p3" for m in rig.views["p0"]["members"])
         # And that one alone: its clock would have it be an earlier life.
         rig.kill("p3")
         rig.processes["p3"].command = rig.command
         rig.start("p3")
-        await settles(rig, terms.healed(6) + STARTED, "after a restart")
+        await settles(rig, terms.healing_bound(6) + STARTED, "after a restart")
         rig.kill("p3")
         rig.processes["p3"].command = (*MUTANT, "clock_back")
         rig.start("p3")
-        await settles(rig, terms.healed(6) + STARTED, "after a restart with the clock set back")
+        await settles(rig, terms.healing_bound(6) + STARTED, "after a restart with the clock set back")
 
         # A joiner whose seeds are all dead for a while, and goodbyes.
         await rig.term("p0", "p1", "p5")
-        await settles(rig, terms.spread(6), "after goodbyes")
+        await settles(rig, terms.spread_bound(6), "after goodbyes")
         left = ("p2", "p3", "p4")  # each says so once it has heard from the others that they know of no more
-        assert await rig.until(lambda: all(rig.views[name]["majority"] for name in left), terms.spread(6)) is not None
+        assert (
+            await rig.until(lambda: all(rig.views[name]["majority"] for name in left), terms.spread_bound(6))
+            is not None
+        )
         rig.start("p5")
         assert await rig.until(lambda: "p5" in rig.views, STARTED) is not None
         assert not rig.views["p5"]["majority"]  # alone, with no seed heard
         rig.start("p0")
-        await settles(rig, terms.healed(6) + STARTED, "once a seed lives")
+        await settles(rig, terms.healing_bound(6) + STARTED, "once a seed lives")
 
         # A stranger with the name of a live member stays out, serves, and gets in once the name is free.
         text = rig.processes["p4"].file.read_text()
@@ -183,7 +186,7 @@
                 await trio.sleep(0.05)
             return found
 
-        with trio.fail_after(STARTED + terms.call_most):
+        with trio.fail_after(STARTED + terms.max_call_interval):
             found = await contested()
         assert not found["takes_part"] and found["name_taken_by"].endswith(f":{rig.advertised['p4'][1]}")
         assert (await rig.call("p1", "PING")).startswith("OK")
@@ -203,7 +206,7 @@
                 ("alive", str(rig.advertised["p1"][1]))
             ]
 
-        assert await rig.until(free, 2 * terms.call_most + terms.spread(6)) is not None, rig.differences()
+        assert await rig.until(free, 2 * terms.max_call_interval + terms.spread_bound(6)) is not None, rig.differences()
 
     await with_rig(world, tmp_path, scenario)
 
@@ -221,18 +224,20 @@
             rig.start("p4")
             await rig.until(lambda: "p4" in rig.views, STARTED)
         await rig._end(everywhere)
-        await settles(rig, terms.detected(5) + terms.healed(5), "after five restarts under loss")
+        await settles(rig, terms.detection_bound(5) + terms.healing_bound(5), "after five restarts under loss")
         assert not any("fleet: taken" in process.log.read_text() for process in rig.processes.values())
         # And once more, as another member: the former name stays behind, dead, until it is forgotten.
         await rig.fault(Fault("restart", 0.0, ["p4"], name="p9"))
-        await settles(rig, terms.detected(5) + terms.healed(5) + STARTED, "after a restart under another name")
+        await settles(
+            rig, terms.detection_bound(5) + terms.healing_bound(5) + STARTED, "after a restart under another name"
+        )
         assert {m["name"]: m["state"] for m in rig.views["p0"]["members"]}["p4"] == "dead"
         assert await rig.told("p0", "forget p4") == {"forgotten": "p4"}
         gone = all_of(lambda view: "dead" not in [m["state"] for m in view["members"]], rig)
-        assert await rig.until(gone, terms.spread(5)) is not None
+        assert await rig.until(gone, terms.spread_bound(5)) is not None
         # Half of the fleet stopped at once.
         await rig.fault(Fault("stop", 0.0, ["p0", "p2"], 4.0))
-        await settles(rig, terms.healed(5), "after two of five were stopped")
+        await settles(rig, terms.healing_bound(5), "after two of five were stopped")
         found = await rig.told("p1", "status")
         assert found["counts"]["repeated"] > 0
 
@@ -292,9 +297,9 @@
         rig.cut(one, other)
         rig.start()
         for half in (one, other):
-            await settles(rig, rig.terms.healed(4) + STARTED, "a half of its own", half)
+            await settles(rig, rig.terms.healing_bound(4) + STARTED, "a half of its own", half)
         rig.heal()
-        await settles(rig, rig.terms.healed(4), "one fleet")
+        await settles(rig, rig.terms.healing_bound(4), "one fleet")
 
     async with open_rig(convert({"name": "kigali", "processes": 4}), 1, tmp_path, start=False) as rig:
         await scenario(rig)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -20,7 +20,7 @@
 from thistleshore.admin import codec
 from thistleshore.cli import commands
 from thistleshore.fleet import Fleet, Record, Service, State, Terms, wire
-from thistleshore.fleet.model import MEMBERS_MOST, SAID, TABLE, Send
+from thistleshore.fleet.model import MAX_MEMBERS, OBSERVATIONS, TRANSITIONS, Send
 
 TERMS = Terms(period=0.2)
 
@@ -30,7 +30,7 @@
     net = Net(names, TERMS, seed, versions=versions)
     for name in names:
         net.start(name, names[:2])
-    assert net.run_until(net.settled, TERMS.healed(count) + 2) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(count) + 2) is not None
     net.run(net.now + 3.0)
     return net
 
@@ -51,12 +51,12 @@
 def test_a_fleet_settles_after_a_join_a_crash_and_a_return(count: int) -> None:
     net = fleet(count)
     # Each has heard every other's digest after a round of probes.
-    known = net.run_until(lambda: all(m.majority and m.settled for m in net.live()), 2 * count * TERMS.period)
-    assert known is not None
+    known_count = net.run_until(lambda: all(m.majority and m.settled for m in net.live()), 2 * count * TERMS.period)
+    assert known_count is not None
     net.kill("n1")
-    assert net.run_until(net.settled, TERMS.detected(count)) is not None
+    assert net.run_until(net.settled, TERMS.detection_bound(count)) is not None
     net.start("n1", ["n0", "n1"])
-    assert net.run_until(net.settled, TERMS.healed(count)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(count)) is not None
     net.run(net.now + 3)
     assert net.settled() and not believed_dead(net)
 
@@ -67,28 +67,28 @@
     names = list(net.nodes)
     net.cut = halves(names, parts)
     groups = [names[n::parts] for n in range(parts)]
-    bound = TERMS.detected(7) + TERMS.spread(7)
+    bound = TERMS.detection_bound(7) + TERMS.spread_bound(7)
     assert net.run_until(lambda: all(net.settled(group) for group in groups), bound) is not None
     for group in groups:
         assert {net.nodes[name].machine.majority for name in group} == {2 * len(group) > 7}  # type: ignore[union-attr]
     if parts == 3:  # the first two first
         net.cut = lambda a, b: (a in groups[2]) != (b in groups[2])
-        assert net.run_until(lambda: net.settled(groups[0] + groups[1]), TERMS.healed(7)) is not None
+        assert net.run_until(lambda: net.settled(groups[0] + groups[1]), TERMS.healing_bound(7)) is not None
     net.cut = lambda a, b: False
-    assert net.run_until(net.settled, TERMS.healed(7)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(7)) is not None
     assert all(m.majority for m in net.live())
 
 
 def test_one_that_joins_a_minority_does_not_take_it_for_the_fleet() -> None:
     net = fleet(7)
     net.kill("n6")
-    net.run(net.now + TERMS.detected(7))
+    net.run(net.now + TERMS.detection_bound(7))
     net.cut = halves(net.nodes)
-    net.run(net.now + TERMS.detected(7))
+    net.run(net.now + TERMS.detection_bound(7))
     net.cut = lambda a, b: (a in ("n1", "n3", "n5", "n6")) != (b in ("n1", "n3", "n5", "n6"))
     net.kill("n1")
     joined = net.start("n6", ["n3"])
-    net.run(net.now + TERMS.detected(7))
+    net.run(net.now + TERMS.detection_bound(7))
     assert net.settled(["n3", "n5", "n6"]) and not joined.majority
 
 
@@ -106,7 +106,7 @@
     net.loss = loss
     net.run(net.now + 60)
     net.loss = 0.0
-    assert net.run_until(net.settled, TERMS.healed(6)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(6)) is not None
     assert not believed_dead(net)
 
 
@@ -116,7 +116,7 @@
     since = net.now
     net.stop("n2", seconds)
     net.run(net.now + seconds)
-    assert net.run_until(net.settled, TERMS.healed(5)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(5)) is not None
     net.run(net.now + 2)
     assert set(died(net, since)) <= {"n2"} and (seconds > 1 or not died(net, since))
     assert not any(event.what == "suspected" and when > since + seconds for when, event in net.nodes["n2"].events)
@@ -129,7 +129,7 @@
     machine.on_service(Service.DRAINING, net.now)  # nothing of it was sent
     net.stop("n2", 3.0)
     net.run(net.now + 3.0)
-    assert net.run_until(net.settled, TERMS.healed(5)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(5)) is not None
     net.run(net.now + 2.0)
     assert all(r.service == Service.DRAINING for m in net.live() for r in m.living() if r.name == "n2")
 
@@ -141,17 +141,17 @@
     net.run(net.now + 7.9)
     assert not any(net.nodes[name].machine.majority for name in ("n1", "n3"))  # type: ignore[union-attr]
     net.run(net.now + 0.1)
-    assert net.run_until(net.settled, TERMS.healed(8)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(8)) is not None
 
 
 def test_all_killed_and_started_at_once_are_new_lives() -> None:
     net = fleet(6)
-    old = {m.me.name: m.me.generation for m in net.live()}
+    old = {m.own_record.name: m.own_record.generation for m in net.live()}
     for name in net.nodes:
         net.kill(name)
     for name in net.nodes:
         net.start(name, ["n0", "n1"])
-    assert net.run_until(net.settled, TERMS.healed(6)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(6)) is not None
     assert all(r.generation > old[r.name] for m in net.live() for r in m.living())
 
 
@@ -162,31 +162,31 @@
         net.run(net.now + 0.4)
         net.start("n3", ["n0", "n1"])
         net.run(net.now + 1.6)
-    assert net.run_until(net.settled, TERMS.healed(4)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(4)) is not None
     assert not any(event.what == "taken" for node in net.nodes.values() for _, event in node.events)
 
 
 @pytest.mark.parametrize("generation", [1, 10**12])
 def test_a_restart_with_the_clock_set_back_or_ahead_is_a_later_life(generation: int) -> None:
     net = fleet(4)
-    before = net.nodes["n3"].machine.me.generation  # type: ignore[union-attr]
+    before = net.nodes["n3"].machine.own_record.generation  # type: ignore[union-attr]
     net.kill("n3")
     machine = net.start("n3", ["n0", "n1"], generation=generation)
-    assert net.run_until(net.settled, TERMS.healed(4)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(4)) is not None
     net.run(net.now + 3)
-    assert net.settled() and machine.me.generation > before and not machine.quiet
+    assert net.settled() and machine.own_record.generation > before and not machine.observing
 
 
 def test_a_restart_that_finds_its_own_life_taken_is_a_later_one() -> None:
     """Else its datagrams, which are numbered anew, would count as repeated, and it would be suspected."""
     net = fleet(4)
-    generation = net.nodes["n3"].machine.me.generation  # type: ignore[union-attr]
+    generation = net.nodes["n3"].machine.own_record.generation  # type: ignore[union-attr]
     net.kill("n3")
     machine = net.start("n3", ["n0", "n1"], generation=generation)
-    assert net.run_until(net.settled, TERMS.healed(4)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(4)) is not None
     since = net.now
     net.run(net.now + 5)
-    assert machine.me.generation == generation + 1 and not machine.counts["refutations"]
+    assert machine.own_record.generation == generation + 1 and not machine.counts["refutations"]
     events = [event for node in net.nodes.values() for when, event in node.events if when > since]
     assert not any(event.what == "suspected" for event in events)
 
@@ -196,12 +196,12 @@
     node = net.nodes["n3"]
     before = node.machine
     assert before is not None
-    me = msgspec.structs.replace(before.me, incarnation=before.me.incarnation + 64)
+    me = msgspec.structs.replace(before.own_record, incarnation=before.own_record.incarnation + 64)
     node.machine = after = Fleet("f", me, TERMS, [net.nodes["n0"].address], net.now, 5, number=before.number + 1000)
     net._carry(node, after.on_time(net.now))
     since = net.now
     net.run(net.now + 5)
-    assert net.settled() and after.me.generation == before.me.generation
+    assert net.settled() and after.own_record.generation == before.own_record.generation
     assert not any(event.what in ("suspected", "died", "returned") and when > since
                    for other in net.nodes.values() if other is not node for when, event in other.events)  # fmt: skip
     assert not any(m.counts["repeated"] for m in net.live())
@@ -212,7 +212,7 @@
     net = fleet(5)
     old = net.nodes["n1"].machine
     assert old is not None
-    me = msgspec.structs.replace(old.me, incarnation=old.me.incarnation + 64)
+    me = msgspec.structs.replace(old.own_record, incarnation=old.own_record.incarnation + 64)
     new = Fleet("f", me, TERMS, [net.nodes["n0"].address], net.now, 1, number=old.number + 100_000)
     net.nodes["n1"].machine = new
     net._arm(net.nodes["n1"])
@@ -223,7 +223,7 @@
     else:
         net._arm(net.nodes["n1"])
     at = net.now
-    net.run(net.now + TERMS.detected(5) + TERMS.spread(5))
+    net.run(net.now + TERMS.detection_bound(5) + TERMS.spread_bound(5))
     assert ("n1" in died(net, at)) != returns
 
 
@@ -232,9 +232,9 @@
     alone = Net(["x", "y"], TERMS, 4)
     machine = alone.start("x", ["y"])
     alone.run(5.0)
-    assert not machine.quiet and not machine.majority  # it has heard no seed: it may be cut off
+    assert not machine.observing and not machine.majority  # it has heard no seed: it may be cut off
     alone.start("y", [])
-    assert alone.run_until(alone.settled, TERMS.healed(2)) is not None and machine.majority
+    assert alone.run_until(alone.settled, TERMS.healing_bound(2)) is not None and machine.majority
     assert net.settled()
 
 
@@ -247,7 +247,7 @@
     net.run(5.0)
     assert net.settled(names[::2]) and net.settled(names[1::2])
     net.cut = lambda a, b: False
-    assert net.run_until(net.settled, TERMS.healed(6)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(6)) is not None
 
 
 def test_one_that_leaves_in_a_cut_and_comes_back_under_its_name() -> None:
@@ -259,16 +259,16 @@
     net.start("n4", ["n0", "n3"])
     net.run(net.now + 1)
     net.cut = lambda a, b: False
-    assert net.run_until(net.settled, TERMS.detected(5) + TERMS.healed(5)) is not None
+    assert net.run_until(net.settled, TERMS.detection_bound(5) + TERMS.healing_bound(5)) is not None
 
 
 def test_a_goodbye_is_no_crash() -> None:
     net = fleet(6)
     since = net.now
     net.leave("n5")
-    assert net.run_until(net.settled, TERMS.spread(6)) is not None
-    assert not died(net, since) and all(m.majority and m.known == 5 for m in net.live())
-    net.run(net.now + TERMS.gone + 5)
+    assert net.run_until(net.settled, TERMS.spread_bound(6)) is not None
+    assert not died(net, since) and all(m.majority and m.known_count == 5 for m in net.live())
+    net.run(net.now + TERMS.left_retention + 5)
     assert all("n5" not in m.members for m in net.live())
 
 
@@ -289,7 +289,7 @@
     net.leave("n3")
     net.run(net.now + 2)
     net.start("n3", ["n0"])
-    assert net.run_until(net.settled, TERMS.healed(4)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(4)) is not None
     machine = net.nodes["n0"].machine
     assert machine is not None and machine.counts["repeated"] > 0
     before = machine.counts["earlier_life"]
@@ -306,15 +306,19 @@
     late = net.start("late", ["n0", "n1"], called="n2")
     net.run(net.now + 5)
     first = net.nodes["n2"].machine
-    assert first is not None and late.quiet and late.rival is not None and not first.quiet
+    assert first is not None and late.observing and late.rival is not None and not first.observing
     for who in ("n2", "late"):
         assert any(event.what == "taken" for _, event in net.nodes[who].events)
-    assert all(m.members["n2"].record.address == first.me.address for m in net.live() if m.me.name != "n2")
+    assert all(
+        m.members["n2"].record.address == first.own_record.address for m in net.live() if m.own_record.name != "n2"
+    )
     # Once the older one is gone the name is free.
     net.kill("n2")
-    assert net.run_until(lambda: not late.quiet, TERMS.call_most * 2.5) is not None
+    assert net.run_until(lambda: not late.observing, TERMS.max_call_interval * 2.5) is not None
     net.run(net.now + 3)
-    assert all(m.members["n2"].record.address == late.me.address for m in net.live() if m.me.name != "n2")
+    assert all(
+        m.members["n2"].record.address == late.own_record.address for m in net.live() if m.own_record.name != "n2"
+    )
 
 
 def test_two_of_one_name_that_meet_after_a_cut_are_told_apart() -> None:
@@ -326,18 +330,20 @@
     net.start("n1", ["n0", "n1"])
     younger = net.start("twin", ["n0", "n1"], called="n2")
     net.run(5)
-    assert not older.quiet and not younger.quiet
+    assert not older.observing and not younger.observing
     net.cut = lambda a, b: False
-    net.run(net.now + TERMS.healed(4))
-    assert younger.quiet and not older.quiet
-    assert all(m.members["n2"].record.address == older.me.address for m in net.live() if m.me.name != "n2")
+    net.run(net.now + TERMS.healing_bound(4))
+    assert younger.observing and not older.observing
+    assert all(
+        m.members["n2"].record.address == older.own_record.address for m in net.live() if m.own_record.name != "n2"
+    )
 
 
 def test_forget_frees_the_dead_and_never_the_living() -> None:
     net = fleet(5)
     for name in ("n3", "n4"):
         net.kill(name)
-    net.run(net.now + TERMS.detected(5))
+    net.run(net.now + TERMS.detection_bound(5))
     machine = net.nodes["n0"].machine
     assert machine is not None
     assert not machine.on_forget("n1", net.now)[0] and not machine.on_forget("nobody", net.now)[0]
@@ -345,8 +351,8 @@
         done, actions = machine.on_forget(name, net.now)
         assert done
         net._carry(net.nodes["n0"], actions)
-    net.run(net.now + TERMS.spread(5))
-    assert all(m.known == 3 for m in net.live())
+    net.run(net.now + TERMS.spread_bound(5))
+    assert all(m.known_count == 3 for m in net.live())
 
 
 def test_members_of_two_wire_versions_settle() -> None:
@@ -368,7 +374,7 @@
 
 
 def message(records: tuple[Record, ...] = ()) -> wire.Message:
-    return wire.Message("k", "b", 5, False, wire.PING, 123, 8, 0xAABBCCDD, ME, records=records, known=3)
+    return wire.Message("k", "b", 5, False, wire.PING, 123, 8, 0xAABBCCDD, ME, records=records, known_count=3)
 
 
 @pytest.mark.parametrize("version", [1, 2])
@@ -377,7 +383,7 @@
     assert held == 1 and data.hex() == GOLDEN[version]
     found = wire.read(bytes.fromhex(GOLDEN[version]), "k", 1200)
     assert found.sender == (ME if version == 2 else msgspec.structs.replace(ME, print=""))
-    assert list(found.records) == [OTHER] and found.known == 3
+    assert list(found.records) == [OTHER] and found.known_count == 3
 
 
 def test_a_field_that_a_later_version_adds_is_passed_over() -> None:
@@ -418,11 +424,11 @@
 
 def test_a_flood_of_false_members_is_bounded() -> None:
     machine = Fleet("k", msgspec.structs.replace(ME, name="b"), TERMS, [], 0.0)
-    for n in range(MEMBERS_MOST + 50):
+    for n in range(MAX_MEMBERS + 50):
         sender = msgspec.structs.replace(ME, name=f"x{n}", port=1 + n)
         false = msgspec.structs.replace(message(), sender=sender)
         machine.on_datagram(wire.write(false, [], 2, 1200)[0], "127.0.0.1", 0.0)
-    assert len(machine.members) == MEMBERS_MOST and machine.counts["crowd"] == 50
+    assert len(machine.members) == MAX_MEMBERS and machine.counts["crowd"] == 50
 
 
 def test_datagrams_keep_to_their_size_whatever_there_is_to_tell() -> None:
@@ -440,7 +446,7 @@
     net._carry = measure  # type: ignore[method-assign, assignment]
     for name in names:
         net.start(name, names[:2])
-    assert net.run_until(net.settled, TERMS.healed(60)) is not None
+    assert net.run_until(net.settled, TERMS.healing_bound(60)) is not None
     assert 600 < longest <= TERMS.datagram
 
 
@@ -461,7 +467,7 @@
     for _ in range(3):
         machine = Fleet("k", ME, TERMS, [], 0.0)
         for record in [*alive, *told]:
-            machine._take(record, 0.0)
+            machine._merge(record, 0.0)
         assert {name: member.record.order for name, member in machine.members.items()} == naive
         order.shuffle(told)
 
@@ -473,7 +479,7 @@
         super().__init__()
         self.now = 0.0
         self.machine = Fleet("k", ME, TERMS, [], 0.0)
-        self.machine.quiet = False
+        self.machine.observing = False
         self.before: dict[str, Record] = {}
         self.latest: dict[str, tuple[int, int, int]] = {}
 
@@ -481,7 +487,7 @@
     def said(self, record: Record) -> None:
         if record.name in self.latest or record.state < State.DEAD:
             self.latest[record.name] = max(record.order, self.latest.get(record.name, record.order))
-        self.machine._take(record, self.now)
+        self.machine._merge(record, self.now)
 
     @rule(seconds=st.floats(0.01, 0.5))
     def time_passes(self, seconds: float) -> None:
@@ -516,11 +522,14 @@
 
 
 def test_the_table_leaves_no_way_out_of_death_but_ones_own_word() -> None:
-    for (state, seen), after in TABLE.items():
+    for (state, seen), after in TRANSITIONS.items():
         if state in (State.DEAD, State.LEFT) and after not in (None, State.DEAD, State.LEFT):
-            assert seen in (SAID[State.ALIVE], SAID[State.SUSPECT])  # of a greater incarnation, which it alone gives
-    assert {after for (state, _), after in TABLE.items() if state is None} == {State.ALIVE, State.SUSPECT}
-    assert len(list(itertools.chain(TABLE))) == len(set(TABLE))
+            assert seen in (
+                OBSERVATIONS[State.ALIVE],
+                OBSERVATIONS[State.SUSPECT],
+            )  # of a greater incarnation, which it alone gives
+    assert {after for (state, _), after in TRANSITIONS.items() if state is None} == {State.ALIVE, State.SUSPECT}
+    assert len(list(itertools.chain(TRANSITIONS))) == len(set(TRANSITIONS))
 
 
 # -- the file, and the calls of operators
--- a/thistleshore/config/operator.py
+++ b/thistleshore/config/operator.py
@@ -32,7 +32,7 @@
 from thistleshore.core.model import HostLine
 from thistleshore.distribution.model import ProtocolSettings as DistributionSettings
 from thistleshore.distribution.plan import DistributionPlan
-from thistleshore.fleet.model import NAME_MOST, Terms as FleetTerms
+from thistleshore.fleet.model import MAX_NAME_LENGTH, Terms as FleetTerms
 from thistleshore.fleet.plan import FleetPlan
 from thistleshore.logs import FORMATS
 from thistleshore.expressions import Limits, NetworkError, Rule, Source, address_set, request_environment
@@ -415,8 +415,10 @@
                 part.whole("datagram", usual.datagram, 512),
             )  # fmt: skip
             for key, text in (("name", fleet), ("zone", zone), ("name", name)):
-                if len(text) > NAME_MOST or not text.isprintable() or " " in text or (key == "name" and not text):
-                    part.fault(key, f"1 to {NAME_MOST} printable characters without a space are wanted, not {text!r}")
+                if len(text) > MAX_NAME_LENGTH or not text.isprintable() or " " in text or (key == "name" and not text):
+                    part.fault(
+                        key, f"1 to {MAX_NAME_LENGTH} printable characters without a space are wanted, not {text!r}"
+                    )
             if terms.datagram > 8192:
                 part.fault("datagram", "at most 8192 bytes: larger ones come in pieces, all of which must arrive")
             try:
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -203,7 +203,7 @@
             # Some that started together in a cut may know nobody else: a majority of the voters has to say so, too.
             spread.everywhere and distribution.fleet.machine.knows_all and self._agreed(),
             tuple(map(zone_status, spread.zones)),
-            distribution.fleet.machine.unlisted,
+            distribution.fleet.machine.unlisted_count,
             dict(sorted(machine.counts.items())),
         )
 
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -77,7 +77,7 @@
         self.serving_from = "disk" if held is not None else "file"
         self.machine = Distributor(
             fleet.plan.name,
-            peer_of(fleet.machine.me),
+            peer_of(fleet.machine.own_record),
             frozenset(releases.plan.voters),
             settings,
             trio.current_time(),
@@ -192,7 +192,7 @@
             case Datagram(data, sender):
                 return machine.on_datagram(data, sender, now)
             case ViewChanged():
-                machine.local_peer = peer_of(self.fleet.machine.me)
+                machine.local_peer = peer_of(self.fleet.machine.own_record)
                 return machine.on_view(peers_of(self.fleet), now)
             case Agreed(stamp, body):
                 return machine.on_agreed(stamp, body, now)
--- a/thistleshore/fleet/carrier.py
+++ b/thistleshore/fleet/carrier.py
@@ -104,12 +104,12 @@
         self._returns = self._returns or self._aside.aside and not aside
         self._aside.turn(aside)
 
-    def left_here(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         """What the next process of a hot restart goes on with."""
-        me = self.machine.me
+        me = self.machine.own_record
         return {"life": me.generation, "incarnation": me.incarnation, "number": self.machine.number}
 
-    def on_file(self, told: Mapping[str, Any]) -> None:
+    def on_settings(self, told: Mapping[str, Any]) -> None:
         """Another file is in force: its fingerprint is told with what is sent next."""
         self.machine.on_print(fingerprint(told), trio.current_time())
 
@@ -232,11 +232,11 @@
             return True, self.status()
         if name == "events":
             after = int(argument) if argument.isdigit() else 0
-            told = [(number, change) for number, _, change in self.machine.told if number > after]
+            told = [(number, change) for number, _, change in self.machine.recent_events if number > after]
             return True, [{"number": number, **change._asdict()} for number, change in told]
         if name == "leave":
             await self.leave()
-            return True, {"left": self.machine.me.name}
+            return True, {"left": self.machine.own_record.name}
         done, actions = self.machine.on_forget(argument, trio.current_time())
         await self._carry_out(actions)
         return done, {"forgotten": argument} if done else "no dead member has that name"
@@ -244,9 +244,9 @@
     def members(self) -> dict[str, Any]:
         """The view, in the form that other programs read."""
         machine, now = self.machine, trio.current_time()
-        rows = [(machine.me, machine.born)] + [(m.record, m.since) for m in machine.members.values()]
+        rows = [(machine.own_record, machine.born)] + [(m.record, m.since) for m in machine.members.values()]
         return {
-            "fleet": machine.fleet, "self": machine.me.name, "digest": f"{machine.digest:08x}",
+            "fleet": machine.fleet, "self": machine.own_record.name, "digest": f"{machine.digest:08x}",
             "majority": machine.majority,
             "members": [
                 {"name": record.name, "zone": record.zone, "life": record.generation,
@@ -261,11 +261,11 @@
         """Beside the view: whether it is settled, and how this instance fares."""
         machine = self.machine
         return {
-            "fleet": machine.fleet, "self": machine.me.name, "life": machine.me.generation,
-            "takes_part": not machine.quiet and not machine.leaving,
+            "fleet": machine.fleet, "self": machine.own_record.name, "life": machine.own_record.generation,
+            "takes_part": not machine.observing and not machine.leaving,
             "name_taken_by": None if machine.rival is None else address_text(machine.rival.address),
             "digest": f"{machine.digest:08x}", "settled": machine.settled, "majority": machine.majority,
-            "seen": machine.seen, "known": machine.known, "health": machine.health,
+            "seen": machine.alive_count, "known": machine.known_count, "health": machine.health,
             "unchanged": round(trio.current_time() - machine.changed_at, 3),
             "bound": round(machine.bound(), 3), "counts": dict(sorted(machine.counts.items())),
             "pid": os.getpid(),
--- a/thistleshore/fleet/machine.py
+++ b/thistleshore/fleet/machine.py
@@ -22,14 +22,14 @@
     GOSSIP,
     HEALTH_MOST,
     HELPERS,
-    MEMBERS_MOST,
+    MAX_MEMBERS,
     PROBES_LATE,
-    SAID,
-    TABLE,
+    OBSERVATIONS,
+    TRANSITIONS,
     Action,
     Changed,
     Record,
-    Seen,
+    Observation,
     Send,
     Service,
     State,
@@ -45,11 +45,11 @@
     """What is known here of one other member."""
 
     __slots__ = (
-        "by",
+        "suspected_by",
         "call_at",
         "call_gap",
         "digest",
-        "known",
+        "known_count",
         "newest",
         "record",
         "seen_numbers",
@@ -61,9 +61,9 @@
     def __init__(self, record: Record, now: float) -> None:
         self.record, self.since = record, now
         self.digest = -1  # of its view, as it told it last
-        self.known = 0  # how many it knows, by that word
+        self.known_count = 0  # how many it knows, by that word
         self.newest, self.seen_numbers = -1, 0  # of its datagrams, and those shortly before
-        self.by: set[str] = set()  # who suspects it
+        self.suspected_by: set[str] = set()  # who suspects it
         self.suspect_since = now
         self.call_at, self.call_gap = inf, 0.0
         self.unsure = 0.0  # s by which its suspicion is longer, as it was our own probe and we doubt ourselves
@@ -104,22 +104,22 @@
     ) -> None:
         """`number` is that of the last datagram of a life that goes on here, after a hot restart."""
         # Plain numbers: enumerations are written otherwise, and checksums are made of what is written.
-        self.me = msgspec.structs.replace(me, state=int(me.state), service=int(me.service))
+        self.own_record = msgspec.structs.replace(me, state=int(me.state), service=int(me.service))
         self.fleet, self.terms, self.allowed = fleet, terms, allowed
         self.first_generation = me.generation
         self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != me.address))
         self.members: dict[str, Member] = {}
-        self._troubled: dict[str, Member] = {}  # those of them that are not alive: few, where there are many
+        self._not_alive: dict[str, Member] = {}  # those of them that are not alive: few, where there are many
         self.counts: Counter[str] = Counter()
         self.health = 0  # 0: sound; grows with every sign that it is this instance that is slow
-        self.quiet = True  # not a member yet, or no longer
+        self.observing = True  # not a member yet, or no longer
         self.leaving = False
         self.rival: Record | None = None  # another process that lives under our name
         self.settled = False
         self.changed_at = now
-        self.heard_any = not self.seeds
-        self.told: deque[tuple[int, float, Changed]] = deque(maxlen=TOLD_MOST)
-        self._told_number = 0
+        self.received_any = not self.seeds
+        self.recent_events: deque[tuple[int, float, Changed]] = deque(maxlen=TOLD_MOST)
+        self._event_number = 0
         self._random = randoms.Random(seed)
         self.number = number
         self._goes_on = number > 0
@@ -135,7 +135,7 @@
         self._next_sync = now
         self._next_seed = now
         self._seed_gap = terms.period / 2
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
 
     # -- what others in this process ask ---------------------------------------------------------
 
@@ -148,7 +148,7 @@
         if self._challenge is not None:
             times.append(self._challenge[2])
         times += [favour.until for favour in self._favours.values()]
-        for member in self._troubled.values():
+        for member in self._not_alive.values():
             if member.record.state == State.SUSPECT:
                 times.append(self._expires(member))
             else:
@@ -166,17 +166,17 @@
     def living(self) -> list[Record]:
         """All that are not dead or gone, this one included unless it stays out."""
         found = [member.record for member in self.members.values() if member.record.state < State.DEAD]
-        return found if self.quiet or self.leaving else [*found, self.me]
+        return found if self.observing or self.leaving else [*found, self.own_record]
 
     @property
-    def seen(self) -> int:
+    def alive_count(self) -> int:
         """How many members live here, this one included."""
         return len(self.living())
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """How many there are, dead ones too until they leave or are forgotten."""
-        return sum(member.record.state != State.LEFT for member in self.members.values()) + (not self.quiet)
+        return sum(member.record.state != State.LEFT for member in self.members.values()) + (not self.observing)
 
     @property
     def majority(self) -> bool:
@@ -184,23 +184,23 @@
 
         All: also by the word of those that live.  One that has just joined a minority knows none of the dead.
         """
-        known = self.known + self.unlisted
-        return self.heard_any and not self.quiet and not self.leaving and 2 * self.seen > known
+        known_count = self.known_count + self.unlisted_count
+        return self.received_any and not self.observing and not self.leaving and 2 * self.alive_count > known_count
 
     @property
-    def unlisted(self) -> int:
+    def unlisted_count(self) -> int:
         """How many more members another one knows than are known here: whoever joins is not told of the dead."""
-        return max([0, *(member.known - self.known for member in self._alive())])
+        return max([0, *(member.known_count - self.known_count for member in self._alive())])
 
     @property
     def knows_all(self) -> bool:
         """Whether no other member is known to know more; never while no seed was heard, or while it stays out."""
-        return self.heard_any and not self.quiet and not self.unlisted
+        return self.received_any and not self.observing and not self.unlisted_count
 
     def bound(self) -> float:
         """s within which the view settles after the last fault, without loss."""
         fleet = len(self.members) + 1
-        return max(self.terms.detected(fleet), self.terms.healed(fleet))
+        return max(self.terms.detection_bound(fleet), self.terms.healing_bound(fleet))
 
     # -- events in -------------------------------------------------------------------------------
 
@@ -212,16 +212,16 @@
             return self._done()
         if now >= self._next_seed:
             self._call_seeds(now)
-        if self.quiet:
+        if self.observing:
             self._consider_joining(now)
         if self._challenge is not None and now >= self._challenge[2]:
             self._challenge_unanswered(now)
         self._run_probe(now)
         if now >= self._next_sync:
-            self._next_sync = now + self.terms.sync * (0.75 + 0.5 * self._random.random())
+            self._next_sync = now + self.terms.sync_interval * (0.75 + 0.5 * self._random.random())
             if alive := self._alive():
                 self._compare(self._random.choice(alive), now)
-        for name, member in list(self._troubled.items()):
+        for name, member in list(self._not_alive.items()):
             self._time_of(name, member, now)
         for number, favour in list(self._favours.items()):
             if now >= favour.until:
@@ -237,35 +237,35 @@
             return self._ignore("network")
         try:
             message = wire.read(data, self.fleet, self.terms.datagram)
-        except wire.Spoilt as problem:
+        except wire.DatagramError as problem:
             return self._ignore(str(problem))
         sender = message.sender
-        if sender.name == self.me.name:
+        if sender.name == self.own_record.name:
             self._same_name(message, now)
             return self._done()
-        if message.to not in ("", self.me.name):
+        if message.to not in ("", self.own_record.name):
             return self._ignore("not_me")
         if not self.allowed(sender.host):
             return self._ignore("network")  # it would have us send there
-        known = self.members.get(sender.name)
-        if known is not None and not message.quiet:
-            if sender.generation < known.record.generation:
+        previous = self.members.get(sender.name)
+        if previous is not None and not message.observing:
+            if sender.generation < previous.record.generation:
                 # Also a repeat of an earlier life's datagram.  A process whose clock was set back learns of it here.
-                self._send(sender, wire.RECORDS, records=(known.record,))
+                self._send(sender, wire.RECORDS, records=(previous.record,))
                 return self._ignore("earlier_life")
-            if sender.generation == known.record.generation and not self._fresh(known, message.number):
+            if sender.generation == previous.record.generation and not self._fresh(previous, message.number):
                 return self._ignore("repeated")
         self.counts["heard"] += 1
-        self.heard_any = True
-        if not message.quiet:
-            self._take(sender, now)
+        self.received_any = True
+        if not message.observing:
+            self._merge(sender, now)
             if (member := self.members.get(sender.name)) is not None:
                 if member.record.generation == sender.generation:
-                    member.digest, member.known = message.digest, message.known
+                    member.digest, member.known_count = message.digest, message.known_count
                     self._fresh(member, message.number)
         for record in message.records:
-            self._take(record, now)
-        if message.quiet and known is not None:
+            self._merge(record, now)
+        if message.observing and previous is not None:
             # Whoever is about to join has to hear who had its name, and of which life.
             self._send_to(
                 sender.address,
@@ -273,7 +273,7 @@
                 sender.generation,
                 min(sender.wire, wire.NEWEST),
                 wire.RECORDS,
-                records=(known.record,),
+                records=(previous.record,),
             )
         self._answer(message, now)
         self._look_settled(now)
@@ -281,16 +281,16 @@
 
     def on_service(self, service: Service, now: float) -> list[Action]:
         """This process serves in another way from now on."""
-        if service != self.me.service and not self.leaving:
-            self._say(now, service=int(service))
-            self._event("changed", self.me, service.name.lower())
+        if service != self.own_record.service and not self.leaving:
+            self._announce(now, service=int(service))
+            self._event("changed", self.own_record, service.name.lower())
         return self._done()
 
     def on_print(self, fingerprint: str, now: float) -> list[Action]:
         """Another file is in force."""
-        if fingerprint != self.me.print and not self.leaving:
-            self.me = msgspec.structs.replace(self.me, print=fingerprint)
-            self._say(now)
+        if fingerprint != self.own_record.print and not self.leaving:
+            self.own_record = msgspec.structs.replace(self.own_record, print=fingerprint)
+            self._announce(now)
         return self._done()
 
     def on_return(self, apart: int, numbers: int, now: float) -> list[Action]:
@@ -298,20 +298,20 @@
 
         Else whatever is sent from here counts as repeated, and this member is dead to all others while it serves."""
         self.number += numbers
-        self.me = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + apart)
-        self._say(now)
+        self.own_record = msgspec.structs.replace(self.own_record, incarnation=self.own_record.incarnation + apart)
+        self._announce(now)
         return self._done()
 
     def on_leave(self, now: float) -> list[Action]:
         """Say goodbye, to as many as one may at once; the others hear it from those."""
         if not self.leaving:
-            if not self.quiet:
-                self._say(now, state=int(State.LEFT))
+            if not self.observing:
+                self._announce(now, state=int(State.LEFT))
                 for member in self._random.sample(self._alive(), min(len(self._alive()), 32)):
-                    self._send(member.record, wire.RECORDS, records=(self.me,))
+                    self._send(member.record, wire.RECORDS, records=(self.own_record,))
             self.leaving = True
             self._digest = None
-            self._event("left", self.me)
+            self._event("left", self.own_record)
         return self._done()
 
     def on_forget(self, name: str, now: float) -> tuple[bool, list[Action]]:
@@ -320,7 +320,7 @@
         if member is None or member.record.state < State.DEAD:
             return False, self._done()
         if member.record.state == State.DEAD:
-            self._take(msgspec.structs.replace(member.record, state=int(State.LEFT), by=self.me.name), now)
+            self._merge(msgspec.structs.replace(member.record, state=int(State.LEFT), by=self.own_record.name), now)
         return True, self._done()
 
     # -- time ------------------------------------------------------------------------------------
@@ -336,49 +336,53 @@
         self._favours.clear()
         for member in self.members.values():
             member.suspect_since += gap
-        self._next_probe = now + self.terms.answer * (1.0 + self._random.random())
+        self._next_probe = now + self.terms.answer_timeout * (1.0 + self._random.random())
         self._next_sync = now  # the others may have gone on without it
         if self._challenge is not None:
             number, rival, _, tries = self._challenge
-            self._challenge = (number, rival, now + 2 * self.terms.answer, tries)
+            self._challenge = (number, rival, now + 2 * self.terms.answer_timeout, tries)
         for member in self.members.values():
             if member.record.state == State.DEAD:
                 member.call_at = max(member.call_at, now)
-        self._event("stalled", self.me, f"{gap:.3f} s")
+        self._event("stalled", self.own_record, f"{gap:.3f} s")
 
     def _time_of(self, name: str, member: Member, now: float) -> None:
         state = member.record.state
         if state == State.SUSPECT and now >= self._expires(member):
-            self._turn(
+            self._apply(
                 member,
-                msgspec.structs.replace(member.record, state=int(State.DEAD), by=self.me.name),
-                Seen.EXPIRED,
+                msgspec.structs.replace(member.record, state=int(State.DEAD), by=self.own_record.name),
+                Observation.EXPIRED,
                 now,
             )
         elif state >= State.DEAD:
             if now >= self._ages(member):
-                assert TABLE[State(state), Seen.AGED] is None
+                assert TRANSITIONS[State(state), Observation.AGED] is None
                 self._drop(name)
             elif now >= member.call_at:
                 # Ever more seldom, and never in step with the others that lost it.
-                member.call_gap = min(self.terms.call_most, 2 * member.call_gap)
+                member.call_gap = min(self.terms.max_call_interval, 2 * member.call_gap)
                 member.call_at = now + member.call_gap * (0.75 + 0.5 * self._random.random())
                 self.counts["calls"] += 1
                 self._compare(member, now)
 
     def _drop(self, name: str) -> None:
         member = self.members.pop(name)
-        self._troubled.pop(name, None)
+        self._not_alive.pop(name, None)
         self._gossip.pop(name, None)
         self._digest = self._buckets = None
         self._event("forgotten", member.record)
 
     def _expires(self, member: Member) -> float:
         fleet = len(self._alive()) + 1
-        return member.suspect_since + member.unsure + self.terms.suspected(fleet, max(0, len(member.by) - 1))
+        return (
+            member.suspect_since
+            + member.unsure
+            + self.terms.suspicion_timeout(fleet, max(0, len(member.suspected_by) - 1))
+        )
 
     def _ages(self, member: Member) -> float:
-        return member.since + (self.terms.forget if member.record.state == State.DEAD else self.terms.gone)
+        return member.since + (self.terms.forget if member.record.state == State.DEAD else self.terms.left_retention)
 
     def _alive(self) -> list[Member]:
         return [member for member in self.members.values() if member.record.state < State.DEAD]
@@ -392,8 +396,8 @@
             if address not in living:
                 self.counts["seed_calls"] += 1
                 self._send_to(address, "", 0, wire.OLDEST, wire.SYNC, buckets=self._bucket_bytes())
-        self._seed_gap = min(self.terms.call_most, 2 * self._seed_gap)
-        if self.quiet and self.rival is not None:
+        self._seed_gap = min(self.terms.max_call_interval, 2 * self._seed_gap)
+        if self.observing and self.rival is not None:
             self._challenge_rival(self.rival, now)
         self._next_seed = now + self._seed_gap * (0.75 + 0.5 * self._random.random())
 
@@ -404,18 +408,18 @@
                 self._join(now)
 
     def _join(self, now: float) -> None:
-        self.quiet = False
+        self.observing = False
         self._digest = self._buckets = None
         self.changed_at = now
-        self._gossip[self.me.name] = 0
-        self._event("joined", self.me)
+        self._gossip[self.own_record.name] = 0
+        self._event("joined", self.own_record)
         for member in self._alive()[:HELPERS]:
             self._compare(member, now)
 
     def _same_name(self, message: wire.Message, now: float) -> None:
         """A datagram of a process under our own name."""
         sender = message.sender
-        if sender.address == self.me.address or sender.generation == self.me.generation:
+        if sender.address == self.own_record.address or sender.generation == self.own_record.generation:
             self._ignore("own")  # one's own, repeated, or of an earlier life at this address
             return
         if not self.allowed(sender.host):
@@ -424,34 +428,36 @@
         if message.kind == wire.PING:
             # Who is younger stays out.  One that is out already has seen us, and asks whether we live.
             self._contested(
-                sender, out=not message.quiet and sender.generation < self.me.generation and not self.quiet, now=now
+                sender,
+                out=not message.observing and sender.generation < self.own_record.generation and not self.observing,
+                now=now,
             )
             self._send(sender, wire.ACK, probe=message.probe)
         elif message.kind == wire.ACK and self._challenge is not None and message.probe == self._challenge[0]:
             self._challenge = None
-            if message.quiet:
+            if message.observing:
                 # It stays out: our record has to win over what it told before.
                 self._contested(sender, out=False, now=now)
-                if sender.generation > self.me.generation:
+                if sender.generation > self.own_record.generation:
                     self._start_generation(sender.generation + 1, now)
             else:
-                self._contested(sender, out=self.quiet or sender.generation < self.me.generation, now=now)
-                self.rival = sender if self.quiet else None
+                self._contested(sender, out=self.observing or sender.generation < self.own_record.generation, now=now)
+                self.rival = sender if self.observing else None
 
     def _contested(self, other: Record, out: bool, now: float) -> None:
         self.counts["contested"] += 1
-        if out and not self.quiet:
-            self.quiet = True
+        if out and not self.observing:
+            self.observing = True
             self.rival = other
             self._digest = self._buckets = None
             self.changed_at = now
-        self._event("taken", other, "stays out" if self.quiet else "the other stays out")
+        self._event("taken", other, "stays out" if self.observing else "the other stays out")
 
     def _challenge_rival(self, other: Record, now: float, tries: int = 3) -> None:
         """Ask whether a process under our name still lives."""
         if self._challenge is None:
             number = self._next_number()
-            self._challenge = (number, other, now + 2 * self.terms.answer, tries - 1)
+            self._challenge = (number, other, now + 2 * self.terms.answer_timeout, tries - 1)
             self._send_to(
                 other.address, other.name, other.generation, min(other.wire, wire.NEWEST), wire.PING, probe=number
             )
@@ -467,62 +473,62 @@
         if self.rival is not None:
             self._event("freed", other)
         self.rival = None
-        if other.generation >= self.me.generation:
+        if other.generation >= self.own_record.generation:
             self._start_generation(other.generation + 1, now)
-        if self.quiet:
+        if self.observing:
             self._join(now)
 
     def _start_generation(self, generation: int, now: float) -> None:
         """A greater life: our clock was set back, or another was told of under our name."""
-        self.me = msgspec.structs.replace(self.me, generation=generation, incarnation=0)
+        self.own_record = msgspec.structs.replace(self.own_record, generation=generation, incarnation=0)
         self.number = 0
-        self._told_anew(now)
+        self._own_record_changed(now)
 
-    def _told_anew(self, now: float) -> None:
+    def _own_record_changed(self, now: float) -> None:
         self._digest = self._buckets = None
-        self._gossip[self.me.name] = 0
+        self._gossip[self.own_record.name] = 0
         self.changed_at = now
 
-    def _say(self, now: float, state: int = 0, service: int | None = None) -> None:
-        self.me = msgspec.structs.replace(
-            self.me,
-            incarnation=self.me.incarnation + 1,
+    def _announce(self, now: float, state: int = 0, service: int | None = None) -> None:
+        self.own_record = msgspec.structs.replace(
+            self.own_record,
+            incarnation=self.own_record.incarnation + 1,
             state=state,
-            service=self.me.service if service is None else service,
+            service=self.own_record.service if service is None else service,
         )
-        self._told_anew(now)
+        self._own_record_changed(now)
 
-    def _about_me(self, record: Record, now: float) -> None:
+    def _on_own_record(self, record: Record, now: float) -> None:
         """What others say of this name."""
-        me = self.me
+        me = self.own_record
         if self.leaving:
             return
-        if record.generation == me.generation and self.quiet and not self._goes_on:
+        if record.generation == me.generation and self.observing and not self._goes_on:
             # Nobody can know of a life that has not joined: an earlier process had it, and a clock was set back.
             self._start_generation(me.generation + 1, now)
         elif record.generation == me.generation:
-            if record.address != me.address and not self.quiet:
+            if record.address != me.address and not self.observing:
                 self._challenge_rival(record, now)
-            if record.state != State.ALIVE and record.incarnation >= me.incarnation and not self.quiet:
+            if record.state != State.ALIVE and record.incarnation >= me.incarnation and not self.observing:
                 # Refuted by a greater incarnation.  Others had no word from us: a sign that we are slow.
-                self.me = msgspec.structs.replace(me, incarnation=record.incarnation)
-                self._say(now)
+                self.own_record = msgspec.structs.replace(me, incarnation=record.incarnation)
+                self._announce(now)
                 self.counts["refutations"] += 1
                 self.health = min(HEALTH_MOST, self.health + 1)
             elif record.incarnation > me.incarnation:
-                self.me = msgspec.structs.replace(me, incarnation=record.incarnation)
-                self._say(now)
+                self.own_record = msgspec.structs.replace(me, incarnation=record.incarnation)
+                self._announce(now)
         else:
             self._on_other_generation(record, now)
 
     def _on_other_generation(self, record: Record, now: float) -> None:
         """What others say of a life under this name that is not ours."""
-        me = self.me
+        me = self.own_record
         gone = record.state >= State.DEAD or record.address == me.address
         if gone:
             if record.generation > me.generation:
                 self._start_generation(record.generation + 1, now)
-        elif record.generation > me.generation or self.quiet:
+        elif record.generation > me.generation or self.observing:
             self._challenge_rival(record, now)
 
     # -- probes --------------------------------------------------------------------------------------
@@ -542,16 +548,18 @@
                 for helper in self._random.sample(helpers, min(HELPERS, len(helpers))):
                     probe.asked += 1
                     self._send(helper.record, wire.ASK, probe=probe.number, target=probe.name)
-                probe.ask_at = now + self.terms.answer * (1.0 + self.health)
-        if now >= self._next_probe and not self.quiet:
+                probe.ask_at = now + self.terms.answer_timeout * (1.0 + self.health)
+        if now >= self._next_probe and not self.observing:
             scale = 1.0 + self.health
             self._next_probe = now + self.terms.period * scale
             if (target := self._next_target()) is not None:
                 number = self._next_number()
-                self._probe = _Probe(target.record.name, number, now + self.terms.answer * scale, self._next_probe)
+                self._probe = _Probe(
+                    target.record.name, number, now + self.terms.answer_timeout * scale, self._next_probe
+                )
                 self.counts["probes"] += 1
                 self._send(target.record, wire.PING, probe=number)
-        elif self.quiet:
+        elif self.observing:
             self._next_probe = now + self.terms.period
 
     def _next_target(self) -> Member | None:
@@ -572,16 +580,16 @@
         # Helpers that do not even say no: it may well be this instance that hears nothing (Lifeguard).
         self.health = min(HEALTH_MOST, self.health + (1 if missing else 0))
         if member.record.state == State.ALIVE:
-            record = msgspec.structs.replace(member.record, state=int(State.SUSPECT), by=self.me.name)
+            record = msgspec.structs.replace(member.record, state=int(State.SUSPECT), by=self.own_record.name)
             member.unsure = self.health * self.terms.period
-            self._turn(member, record, Seen.UNANSWERED, now)
-        elif member.record.state == State.SUSPECT and self.me.name not in member.by:
-            self._confirm(member, self.me.name)
+            self._apply(member, record, Observation.UNANSWERED, now)
+        elif member.record.state == State.SUSPECT and self.own_record.name not in member.suspected_by:
+            self._confirm(member, self.own_record.name)
 
     def _confirm(self, member: Member, name: str) -> None:
         """One more that suspects it: the more, the sooner it is believed."""
-        if name and name not in member.by and len(member.by) <= HELPERS:
-            member.by.add(name)
+        if name and name not in member.suspected_by and len(member.suspected_by) <= HELPERS:
+            member.suspected_by.add(name)
             member.record = msgspec.structs.replace(member.record, by=name)
             self._gossip[member.record.name] = 0
 
@@ -607,7 +615,7 @@
                 return
             number = self._next_number()
             # A no in time lets the one that asks doubt the other and not itself.
-            self._favours[number] = _Favour(sender, message.probe, now + 1.2 * self.terms.answer)
+            self._favours[number] = _Favour(sender, message.probe, now + 1.2 * self.terms.answer_timeout)
             self._send(target.record, wire.PING, probe=number)
         elif kind == wire.NACK:
             if (probe := self._probe) is not None and probe.number == message.probe:
@@ -617,57 +625,57 @@
 
     # -- records ---------------------------------------------------------------------------------------
 
-    def _take(self, record: Record, now: float) -> None:
+    def _merge(self, record: Record, now: float) -> None:
         """What somebody says of a member: taken where it is later than what is known."""
-        if record.name == self.me.name:
-            self._about_me(record, now)
+        if record.name == self.own_record.name:
+            self._on_own_record(record, now)
             return
         member = self.members.get(record.name)
         if not self.allowed(record.host):
             self.counts["network"] += 1
         elif member is None:
-            if TABLE.get((None, SAID[State(record.state)])) is None:
+            if TRANSITIONS.get((None, OBSERVATIONS[State(record.state)])) is None:
                 return
-            if len(self.members) >= MEMBERS_MOST:
+            if len(self.members) >= MAX_MEMBERS:
                 self.counts["crowd"] += 1
                 return
             self.members[record.name] = member = Member(record, now)
             if record.state == State.SUSPECT:
-                member.by = {record.by}
-                self._troubled[record.name] = member
+                member.suspected_by = {record.by}
+                self._not_alive[record.name] = member
             self._round.insert(self._random.randint(0, len(self._round)), record.name)
             self._told_of(record, now)
             self._event("joined", record)
         elif record.order > member.record.order:
-            self._turn(member, record, SAID[State(record.state)], now)
+            self._apply(member, record, OBSERVATIONS[State(record.state)], now)
         elif record.order == member.record.order:
             if record.state == State.SUSPECT:
                 self._confirm(member, record.by)
             if record.print and not member.record.print:  # what an older version left out
                 member.record = msgspec.structs.replace(member.record, print=record.print)
 
-    def _turn(self, member: Member, record: Record, seen: Seen, now: float) -> None:
+    def _apply(self, member: Member, record: Record, seen: Observation, now: float) -> None:
         """One step of the table, its events, and the gossip of it."""
         before = member.record
-        if (State(before.state), seen) not in TABLE:
+        if (State(before.state), seen) not in TRANSITIONS:
             return
-        assert TABLE[State(before.state), seen] == record.state
+        assert TRANSITIONS[State(before.state), seen] == record.state
         member.record = record
         if record.state == State.ALIVE:
-            self._troubled.pop(record.name, None)
+            self._not_alive.pop(record.name, None)
         else:
-            self._troubled[record.name] = member
+            self._not_alive[record.name] = member
         if record.generation != before.generation:
             member.digest = member.newest = -1
             member.seen_numbers = 0
         if record.state == State.SUSPECT:
             if before.state != State.SUSPECT or record.order[:2] != before.order[:2]:
-                member.suspect_since, member.by = now, set()
-                if seen is not Seen.UNANSWERED:
+                member.suspect_since, member.suspected_by = now, set()
+                if seen is not Observation.UNANSWERED:
                     member.unsure = 0.0
-            member.by.add(record.by)
+            member.suspected_by.add(record.by)
         if record.state >= State.DEAD:
-            member.call_gap = self.terms.call
+            member.call_gap = self.terms.first_call_delay
             # One that has left wanted to: it is not called.
             member.call_at = now + member.call_gap if record.state == State.DEAD else inf
         if record.state != before.state or record.generation != before.generation:
@@ -697,11 +705,11 @@
     def _look_settled(self, now: float) -> None:
         """Whether all that live have told the same digest as ours last."""
         alive = self._alive()
-        settled = not self.quiet and all(m.record.state == State.ALIVE and m.digest == self.digest for m in alive)
+        settled = not self.observing and all(m.record.state == State.ALIVE and m.digest == self.digest for m in alive)
         if settled != self.settled:
             self.settled = settled
             if settled:
-                self._event("settled", self.me, f"{len(alive) + 1} members, digest {self.digest:08x}")
+                self._event("settled", self.own_record, f"{len(alive) + 1} members, digest {self.digest:08x}")
 
     def _fresh(self, member: Member, number: int) -> bool:
         """Whether a datagram of this number has not come before; what is too old to know counts as come."""
@@ -804,9 +812,9 @@
         )
         found = []
         for _, _, name in names[: wire.RECORDS_MOST]:
-            if name == self.me.name:
-                if not self.quiet:
-                    found.append(self.me)
+            if name == self.own_record.name:
+                if not self.observing:
+                    found.append(self.own_record)
             elif name in self.members:
                 found.append(self.members[name].record)
         return found
@@ -828,30 +836,30 @@
             self.fleet,
             to,
             generation,
-            self.quiet,
+            self.observing,
             kind,
             self.number,
             probe,
             self.digest,
-            self.me,
+            self.own_record,
             target,
             buckets,
-            known=self.known,
+            known_count=self.known_count,
         )
         data, held = wire.write(message, records, version, self.terms.datagram)
         self.counts["sent"] += 1
         self.counts["bytes"] += len(data)
-        self._out.append(Send(address, data))
+        self._actions.append(Send(address, data))
         return held
 
     def _event(self, what: str, record: Record, told: str = "") -> None:
         found = Changed(what, record.name, record.generation, record.incarnation, told)
-        self._told_number += 1
-        self.told.append((self._told_number, self.changed_at, found))
-        self._out.append(found)
+        self._event_number += 1
+        self.recent_events.append((self._event_number, self.changed_at, found))
+        self._actions.append(found)
 
     def _done(self) -> list[Action]:
-        out, self._out = self._out, []
+        out, self._actions = self._actions, []
         return out
 
     def _ignore(self, why: str) -> list[Action]:
--- a/thistleshore/fleet/model.py
+++ b/thistleshore/fleet/model.py
@@ -17,8 +17,8 @@
 
 from thistleshore.addresses import Address
 
-NAME_MOST = 64  # characters of a name or a zone
-MEMBERS_MOST = 1024
+MAX_NAME_LENGTH = 64  # characters of a name or a zone
+MAX_MEMBERS = 1024
 HEALTH_MOST = 8  # how far an instance may doubt itself: times grow up to nine-fold
 HELPERS = 3  # members that are asked to probe for another
 GOSSIP = 4  # a record is told this often for each doubling of the fleet
@@ -43,49 +43,49 @@
     DRAINING = 2
 
 
-class Seen(Enum):
+class Observation(Enum):
     """What may happen to a member's record here."""
 
     UNANSWERED = "no probe of it was answered, direct or by others"
     EXPIRED = "it was suspected for its whole time, and said nothing"
-    SAID_ALIVE = "a greater incarnation or life of its own"
-    SAID_SUSPECT = "another suspects this incarnation"
-    SAID_DEAD = "another declares this incarnation dead"
-    SAID_LEFT = "it has left, or an operator forgot it"
+    REPORTED_ALIVE = "a greater incarnation or life of its own"
+    REPORTED_SUSPECT = "another suspects this incarnation"
+    REPORTED_DEAD = "another declares this incarnation dead"
+    REPORTED_LEFT = "it has left, or an operator forgot it"
     AGED = "it was dead for `forget`, or had left for `gone`"
 
 
 # The whole life of a member in another's view.  What is not here changes nothing; None: it is no longer in the view.
-TABLE: Mapping[tuple[State | None, Seen], State | None] = {
-    (None, Seen.SAID_ALIVE): State.ALIVE,
-    (None, Seen.SAID_SUSPECT): State.SUSPECT,
+TRANSITIONS: Mapping[tuple[State | None, Observation], State | None] = {
+    (None, Observation.REPORTED_ALIVE): State.ALIVE,
+    (None, Observation.REPORTED_SUSPECT): State.SUSPECT,
     # Dead or gone before it was known: of no use here, and forgotten records must not come back for ever.
-    (State.ALIVE, Seen.UNANSWERED): State.SUSPECT,
-    (State.ALIVE, Seen.SAID_ALIVE): State.ALIVE,
-    (State.ALIVE, Seen.SAID_SUSPECT): State.SUSPECT,
-    (State.ALIVE, Seen.SAID_DEAD): State.DEAD,
-    (State.ALIVE, Seen.SAID_LEFT): State.LEFT,
-    (State.SUSPECT, Seen.EXPIRED): State.DEAD,
-    (State.SUSPECT, Seen.SAID_ALIVE): State.ALIVE,  # it refuted
-    (State.SUSPECT, Seen.SAID_SUSPECT): State.SUSPECT,
-    (State.SUSPECT, Seen.SAID_DEAD): State.DEAD,
-    (State.SUSPECT, Seen.SAID_LEFT): State.LEFT,
-    (State.DEAD, Seen.SAID_ALIVE): State.ALIVE,  # it came back, or was never dead
-    (State.DEAD, Seen.SAID_SUSPECT): State.SUSPECT,
-    (State.DEAD, Seen.SAID_DEAD): State.DEAD,
-    (State.DEAD, Seen.SAID_LEFT): State.LEFT,
-    (State.DEAD, Seen.AGED): None,
-    (State.LEFT, Seen.SAID_ALIVE): State.ALIVE,  # a new life under its name
-    (State.LEFT, Seen.SAID_SUSPECT): State.SUSPECT,
-    (State.LEFT, Seen.SAID_DEAD): State.DEAD,
-    (State.LEFT, Seen.SAID_LEFT): State.LEFT,
-    (State.LEFT, Seen.AGED): None,
+    (State.ALIVE, Observation.UNANSWERED): State.SUSPECT,
+    (State.ALIVE, Observation.REPORTED_ALIVE): State.ALIVE,
+    (State.ALIVE, Observation.REPORTED_SUSPECT): State.SUSPECT,
+    (State.ALIVE, Observation.REPORTED_DEAD): State.DEAD,
+    (State.ALIVE, Observation.REPORTED_LEFT): State.LEFT,
+    (State.SUSPECT, Observation.EXPIRED): State.DEAD,
+    (State.SUSPECT, Observation.REPORTED_ALIVE): State.ALIVE,  # it refuted
+    (State.SUSPECT, Observation.REPORTED_SUSPECT): State.SUSPECT,
+    (State.SUSPECT, Observation.REPORTED_DEAD): State.DEAD,
+    (State.SUSPECT, Observation.REPORTED_LEFT): State.LEFT,
+    (State.DEAD, Observation.REPORTED_ALIVE): State.ALIVE,  # it came back, or was never dead
+    (State.DEAD, Observation.REPORTED_SUSPECT): State.SUSPECT,
+    (State.DEAD, Observation.REPORTED_DEAD): State.DEAD,
+    (State.DEAD, Observation.REPORTED_LEFT): State.LEFT,
+    (State.DEAD, Observation.AGED): None,
+    (State.LEFT, Observation.REPORTED_ALIVE): State.ALIVE,  # a new life under its name
+    (State.LEFT, Observation.REPORTED_SUSPECT): State.SUSPECT,
+    (State.LEFT, Observation.REPORTED_DEAD): State.DEAD,
+    (State.LEFT, Observation.REPORTED_LEFT): State.LEFT,
+    (State.LEFT, Observation.AGED): None,
 }
-SAID = {
-    State.ALIVE: Seen.SAID_ALIVE,
-    State.SUSPECT: Seen.SAID_SUSPECT,
-    State.DEAD: Seen.SAID_DEAD,
-    State.LEFT: Seen.SAID_LEFT,
+OBSERVATIONS = {
+    State.ALIVE: Observation.REPORTED_ALIVE,
+    State.SUSPECT: Observation.REPORTED_SUSPECT,
+    State.DEAD: Observation.REPORTED_DEAD,
+    State.LEFT: Observation.REPORTED_LEFT,
 }
 
 
@@ -117,11 +117,11 @@
     def sound(self) -> bool:
         """Whether its values are within their bounds."""
         return (
-            0 < len(self.name) <= NAME_MOST
+            0 < len(self.name) <= MAX_NAME_LENGTH
             and self.name.isprintable()
             and " " not in self.name
-            and len(self.zone) <= NAME_MOST
-            and len(self.by) <= NAME_MOST
+            and len(self.zone) <= MAX_NAME_LENGTH
+            and len(self.by) <= MAX_NAME_LENGTH
             and len(self.program) <= 32
             and len(self.print) <= 16
             and 0 < len(self.host) <= 64
@@ -144,30 +144,30 @@
     datagram: int = 1200  # bytes
 
     @property
-    def answer(self) -> float:
+    def answer_timeout(self) -> float:
         """For a direct answer, before others are asked."""
         return 0.3 * self.period
 
     @property
-    def sync(self) -> float:
+    def sync_interval(self) -> float:
         """Between two comparisons of the whole view with another member's."""
         return 5.0 * self.period
 
     @property
-    def call(self) -> float:
+    def first_call_delay(self) -> float:
         """Until one that is dead is called for the first time; each next time twice as long."""
         return 2.0 * self.period
 
     @property
-    def call_most(self) -> float:
+    def max_call_interval(self) -> float:
         return 15.0 * self.period
 
     @property
-    def gone(self) -> float:
+    def left_retention(self) -> float:
         """For which one that has left is told of."""
         return min(self.forget, 60.0 * self.period)
 
-    def suspected(self, fleet: int, confirmed: int) -> float:
+    def suspicion_timeout(self, fleet: int, confirmed: int) -> float:
         """How long a member is suspected, of so many members, where so many others suspect it as well (Lifeguard)."""
         least = self.suspicion * max(1.0, math.log10(max(fleet, 1))) * self.period
         wanted = min(HELPERS, fleet - 2)
@@ -178,17 +178,17 @@
 
     # -- what follows: bounds that tests and operators may rely on, without loss and with healthy instances --
 
-    def spread(self, fleet: int) -> float:
+    def spread_bound(self, fleet: int) -> float:
         """For a change to reach all by gossip, or failing that by comparing views."""
-        return (2.0 * math.ceil(math.log2(fleet + 1)) + 1.0) * self.period + 2.0 * self.sync
+        return (2.0 * math.ceil(math.log2(fleet + 1)) + 1.0) * self.period + 2.0 * self.sync_interval
 
-    def detected(self, fleet: int) -> float:
+    def detection_bound(self, fleet: int) -> float:
         """For a crash to be seen by all: each is probed once in a round, then suspected, then told of."""
-        return (2.0 * fleet + 1.0) * self.period + self.suspected(fleet, 0) + self.spread(fleet)
+        return (2.0 * fleet + 1.0) * self.period + self.suspicion_timeout(fleet, 0) + self.spread_bound(fleet)
 
-    def healed(self, fleet: int) -> float:
+    def healing_bound(self, fleet: int) -> float:
         """For halves to be one again: the next call of one that was dead, then spreading."""
-        return 1.25 * self.call_most + 2.0 * self.spread(fleet)
+        return 1.25 * self.max_call_interval + 2.0 * self.spread_bound(fleet)
 
 
 class Send(NamedTuple):
--- a/thistleshore/fleet/wire.py
+++ b/thistleshore/fleet/wire.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from thistleshore.fleet.model import NAME_MOST, Record
+from thistleshore.fleet.model import MAX_NAME_LENGTH, Record
 
 MAGIC = b"tF"
 OLDEST, NEWEST = 1, 2
@@ -25,7 +25,7 @@
 PING, ACK, ASK, NACK, SYNC, REPLY, RECORDS = range(7)
 
 
-class Spoilt(Exception):
+class DatagramError(Exception):
     """What came is no datagram of ours; the text is the kind that is counted."""
 
 
@@ -35,7 +35,7 @@
     fleet: str
     to: str  # "": whoever is at the address
     to_generation: int  # 0: of whatever life
-    quiet: bool  # its sender is not a member: it is answered, and not taken in
+    observing: bool  # its sender is not a member: it is answered, and not taken in
     kind: int
     number: int  # of this sender's life; none counts twice
     probe: int  # which probe it belongs to
@@ -44,7 +44,7 @@
     target: str = ""  # ASK: whom to probe
     buckets: bytes = b""  # SYNC, REPLY: checksums of parts of the view
     records: Sequence[Record] = ()
-    known: int = 0  # how many members the sender knows, dead ones too
+    known_count: int = 0  # how many members the sender knows, dead ones too
 
 
 class _Written(msgspec.Struct, array_like=True):
@@ -53,7 +53,7 @@
     fleet: str
     to: str
     to_generation: int
-    quiet: bool
+    observing: bool
     kind: int
     number: int
     probe: int
@@ -62,7 +62,7 @@
     target: str
     buckets: bytes
     records: list[msgspec.Raw]
-    known: int
+    known_count: int
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -99,7 +99,7 @@
             message.fleet,
             message.to,
             message.to_generation,
-            message.quiet,
+            message.observing,
             message.kind,
             message.number,
             message.probe,
@@ -108,7 +108,7 @@
             message.target,
             message.buckets,
             raw,
-            message.known,
+            message.known_count,
         )
     )
     return HEAD.pack(MAGIC, version, crc32(body)) + body, len(raw)
@@ -117,31 +117,31 @@
 def read(data: bytes, fleet: str, most: int) -> Message:
     """What a datagram says, or Spoilt; the cheap checks come first, as anybody may send anything."""
     if len(data) > most or len(data) <= HEAD.size:
-        raise Spoilt("size")
+        raise DatagramError("size")
     magic, version, told = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Spoilt("garbage")
+        raise DatagramError("garbage")
     if not OLDEST <= version <= NEWEST:
-        raise Spoilt("version")
+        raise DatagramError("version")
     body = data[HEAD.size :]
     if crc32(body) != told:
-        raise Spoilt("garbage")
+        raise DatagramError("garbage")
     try:
         message = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Spoilt("garbage") from None
+        raise DatagramError("garbage") from None
     if message.fleet != fleet:
-        raise Spoilt("fleet")
+        raise DatagramError("fleet")
     if not (
         PING <= message.kind <= RECORDS
         and message.sender.sound()
         and len(message.records) <= RECORDS_MOST
         and all(record.sound() for record in message.records)
-        and len(message.target) <= NAME_MOST
-        and len(message.to) <= NAME_MOST
-        and 0 <= message.known < 1 << 31
+        and len(message.target) <= MAX_NAME_LENGTH
+        and len(message.to) <= MAX_NAME_LENGTH
+        and 0 <= message.known_count < 1 << 31
         and 0 <= message.number < 1 << 63
         and 0 <= message.probe < 1 << 63
     ):
-        raise Spoilt("garbage")
+        raise DatagramError("garbage")
     return message
--- a/thistleshore/follower.py
+++ b/thistleshore/follower.py
@@ -74,7 +74,7 @@
         self._apply_rules(found, changed)
         self._move_discovery(found)
         if self.fleet is not None:
-            self.fleet.on_file(found.told)
+            self.fleet.on_settings(found.told)
         return True
 
     def adopt(self, found: Plan, hosts: Sequence[HostLine] | None) -> None:
--- a/thistleshore/releases/standing.py
+++ b/thistleshore/releases/standing.py
@@ -14,7 +14,7 @@
     """As of now.  Whoever is down, suspect, not ready, cold or shunned by the module counts as out."""
     generations: dict[str, int] = {}
     dispatchers_down: set[str] = set()
-    for record in [fleet.me, *(member.record for member in fleet.members.values())]:
+    for record in [fleet.own_record, *(member.record for member in fleet.members.values())]:
         if record.state == State.LEFT and record.by:
             continue  # an operator said that it will not come back
         generations[record.name] = record.generation
--- a/thistleshore/restart/handover_state.py
+++ b/thistleshore/restart/handover_state.py
@@ -139,7 +139,7 @@
         if self.peers is not None:
             sockets.append(("peers", self.peers.socket))
         if self.fleet is not None:
-            values["fleet"] = self.fleet.left_here()
+            values["fleet"] = self.fleet.handover_state()
             if self.fleet.socket is not None:
                 sockets.append(("fleet", self.fleet.socket))
         return values, sockets
--- a/thistleshore/rig/rig.py
+++ b/thistleshore/rig/rig.py
@@ -529,7 +529,7 @@
                 nursery.start_soon(rig._look, name)
             if start:
                 rig.start()
-                await rig.settle(STARTED + rig.terms.healed(world.processes), "first start")
+                await rig.settle(STARTED + rig.terms.healing_bound(world.processes), "first start")
             yield rig
         finally:
             for process in rig.processes.values():
--- a/thistleshore/rig/run.py
+++ b/thistleshore/rig/run.py
@@ -24,7 +24,7 @@
 def allowed(world: World, faults: Sequence[Fault], rig: Rig) -> float:
     """s within which the view must be settled after the last fault, by the protocol's own times."""
     terms, count = rig.terms, world.processes
-    bound = terms.detected(count) + terms.healed(count)
+    bound = terms.detection_bound(count) + terms.healing_bound(count)
     if any(fault.kind in ("kill", "restart", "term") for fault in faults):
         bound += STARTED  # a process has to start first
     return bound
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -57,12 +57,12 @@
     """Make this process's part of the agreement, and start it once this process is the member."""
     plan, broker, fleet = components.plan, components.broker, components.fleet
     assert plan.releases is not None and fleet is not None
-    machine, counter = fleet.machine, _count_answers(components, fleet.machine.me.name)
+    machine, counter = fleet.machine, _count_answers(components, fleet.machine.own_record.name)
     control = HostControl(plan, broker, machine)
     releases = components.releases = Releases(
         plan=plan.releases,
-        name=machine.me.name,
-        generation=machine.me.generation,
+        name=machine.own_record.name,
+        generation=machine.own_record.generation,
         observe=lambda: observe(machine, broker, trio.current_time()),
         ban=control.ban,
         is_clear=control.is_clear,
