--- a/thistleshore/fleet/__init__.py
+++ b/thistleshore/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The view of the fleet: who is there, of which life, and how each serves."""
+"""Fleet membership: the members, their generations, and the service state of each."""
 
 from thistleshore.fleet.machine import Fleet
 from thistleshore.fleet.model import Record, Service, State, Terms
--- a/thistleshore/fleet/model.py
+++ b/thistleshore/fleet/model.py
@@ -1,9 +1,12 @@
-"""What members are to one another: records, the table of a member's states, the protocol's times, and the actions.
+"""Data model of fleet membership: records, the state transitions of a member, protocol timing, and actions.
 
-A member is named once in its fleet.  Its *life* numbers its starts (milliseconds of its wall clock, raised where that
-was set back); within a life its *incarnation* grows whenever it says something new of itself.  What is said later wins
-by (life, incarnation, state): the order is total, so that merging is commutative and idempotent, and views that have
-taken in the same records are the same.
+The protocol is SWIM with the extensions of Lifeguard.  A member's name is unique in its fleet.  Its *generation*
+identifies a start of the member: the wall-clock time of the start in milliseconds, or one more than the generation that
+others know where the clock was set back.  Log records, hand-over state and answers to operators call it `life`.  Within
+a generation the *incarnation* increases whenever the member publishes a new record of itself.
+
+Of two records of a member the one with the greater (generation, incarnation, state) wins.  The order is total, so
+merging is commutative and idempotent, and two views that merged the same records are equal.
 """
 
 from __future__ import annotations
@@ -19,15 +22,15 @@
 
 MAX_NAME_LENGTH = 64  # characters of a name or a zone
 MAX_MEMBERS = 1024
-HEALTH_MOST = 8  # how far an instance may doubt itself: times grow up to nine-fold
-HELPERS = 3  # members that are asked to probe for another
-GOSSIP = 4  # a record is told this often for each doubling of the fleet
-BUCKETS = 32  # of a view's digest, for finding what differs
-PROBES_LATE = 0.5  # of a period: whoever is late by more was stopped, and judges nobody by that time
+HEALTH_MOST = 8  # greatest health score (Lifeguard): probe times grow up to (1 + score)-fold
+HELPERS = 3  # members that are asked for an indirect probe
+GOSSIP = 4  # transmissions of a record for each doubling of the fleet size
+BUCKETS = 32  # checksums of a view by hash of the name, to find which records differ
+PROBES_LATE = 0.5  # periods; a timer that is later than this means that this process was stopped or starved
 
 
 class State(IntEnum):
-    """How a member stands; of one incarnation the greater wins."""
+    """Membership state; within one incarnation the greater value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,7 +39,7 @@
 
 
 class Service(IntEnum):
-    """How a member serves, by its own word."""
+    """Service state of a member, as it reports it."""
 
     STARTING = 0
     READY = 1
@@ -44,38 +47,38 @@
 
 
 class Observation(Enum):
-    """What may happen to a member's record here."""
+    """An event that may change the state of a member's record in the local view."""
 
-    UNANSWERED = "no probe of it was answered, direct or by others"
-    EXPIRED = "it was suspected for its whole time, and said nothing"
-    REPORTED_ALIVE = "a greater incarnation or life of its own"
-    REPORTED_SUSPECT = "another suspects this incarnation"
-    REPORTED_DEAD = "another declares this incarnation dead"
-    REPORTED_LEFT = "it has left, or an operator forgot it"
-    AGED = "it was dead for `forget`, or had left for `gone`"
+    UNANSWERED = "neither a direct nor an indirect probe was answered"
+    EXPIRED = "the suspicion timeout passed without a refutation"
+    REPORTED_ALIVE = "a record with a greater generation or incarnation"
+    REPORTED_SUSPECT = "another member suspects this incarnation"
+    REPORTED_DEAD = "another member declares this incarnation dead"
+    REPORTED_LEFT = "the member left, or an operator had it forgotten"
+    AGED = "the record was DEAD for `forget`, or LEFT for `left_retention`"
 
 
-# The whole life of a member in another's view.  What is not here changes nothing; None: it is no longer in the view.
+# All state transitions of a member in another's view.  A pair that is missing changes nothing; None: not in the view.
 TRANSITIONS: Mapping[tuple[State | None, Observation], State | None] = {
     (None, Observation.REPORTED_ALIVE): State.ALIVE,
     (None, Observation.REPORTED_SUSPECT): State.SUSPECT,
-    # Dead or gone before it was known: of no use here, and forgotten records must not come back for ever.
+    # A DEAD or LEFT record of an unknown member is ignored: otherwise forgotten records would circulate for ever.
     (State.ALIVE, Observation.UNANSWERED): State.SUSPECT,
     (State.ALIVE, Observation.REPORTED_ALIVE): State.ALIVE,
     (State.ALIVE, Observation.REPORTED_SUSPECT): State.SUSPECT,
     (State.ALIVE, Observation.REPORTED_DEAD): State.DEAD,
     (State.ALIVE, Observation.REPORTED_LEFT): State.LEFT,
     (State.SUSPECT, Observation.EXPIRED): State.DEAD,
-    (State.SUSPECT, Observation.REPORTED_ALIVE): State.ALIVE,  # it refuted
+    (State.SUSPECT, Observation.REPORTED_ALIVE): State.ALIVE,  # refuted by the member
     (State.SUSPECT, Observation.REPORTED_SUSPECT): State.SUSPECT,
     (State.SUSPECT, Observation.REPORTED_DEAD): State.DEAD,
     (State.SUSPECT, Observation.REPORTED_LEFT): State.LEFT,
-    (State.DEAD, Observation.REPORTED_ALIVE): State.ALIVE,  # it came back, or was never dead
+    (State.DEAD, Observation.REPORTED_ALIVE): State.ALIVE,  # restarted, or wrongly declared dead
     (State.DEAD, Observation.REPORTED_SUSPECT): State.SUSPECT,
     (State.DEAD, Observation.REPORTED_DEAD): State.DEAD,
     (State.DEAD, Observation.REPORTED_LEFT): State.LEFT,
     (State.DEAD, Observation.AGED): None,
-    (State.LEFT, Observation.REPORTED_ALIVE): State.ALIVE,  # a new life under its name
+    (State.LEFT, Observation.REPORTED_ALIVE): State.ALIVE,  # a new generation under the same name
     (State.LEFT, Observation.REPORTED_SUSPECT): State.SUSPECT,
     (State.LEFT, Observation.REPORTED_DEAD): State.DEAD,
     (State.LEFT, Observation.REPORTED_LEFT): State.LEFT,
@@ -90,7 +93,10 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One member as it is told.  Fields are only ever added at the end: an older version reads what it knows."""
+    """A member as it is sent in datagrams, encoded by position.
+
+    Fields are only ever added at the end; an older version ignores those that it does not know.
+    """
 
     name: str
     host: str
@@ -100,22 +106,23 @@
     incarnation: int
     state: int
     service: int
-    wire: int  # the newest version of datagrams that it reads
+    wire: int  # newest datagram version that the member reads
     program: str
-    by: str = ""  # who suspects it
-    print: str = ""  # fingerprint of its file; wire version 2
+    by: str = ""  # who suspects it, declared it dead or had it forgotten; "": nobody
+    print: str = ""  # fingerprint of its settings file; since datagram version 2
 
     @property
     def address(self) -> Address:
+        """Return host and port of its UDP socket."""
         return self.host, self.port
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """What is said later wins."""
+        """Return the precedence: of two records of one member the greater wins."""
         return self.generation, self.incarnation, self.state
 
     def sound(self) -> bool:
-        """Whether its values are within their bounds."""
+        """Return whether all values are within their bounds."""
         return (
             0 < len(self.name) <= MAX_NAME_LENGTH
             and self.name.isprintable()
@@ -135,40 +142,41 @@
 
 
 class Terms(NamedTuple):
-    """The protocol's named times, in seconds; all others follow from `period`."""
+    """Timing of the protocol, in seconds where no other unit is given; most times derive from `period`."""
 
-    period: float = 1.0  # between two probes
-    suspicion: float = 4.0  # periods for which a member is suspected at least, for each tenfold of the fleet
-    stretch: float = 3.0  # times that, while nobody else suspects it
-    forget: float = 86400.0  # for which one that is dead is called again
-    datagram: int = 1200  # bytes
+    period: float = 1.0  # between two probes of this instance
+    suspicion: float = 4.0  # shortest suspicion timeout, in periods times max(1, log10 of the fleet size)
+    stretch: float = 3.0  # factor of the longest suspicion timeout, which holds while no other member confirms
+    forget: float = 86400.0  # how long a dead member is kept and contacted again
+    datagram: int = 1200  # greatest size in bytes
 
     @property
     def answer_timeout(self) -> float:
-        """For a direct answer, before others are asked."""
+        """Return the timeout of a direct probe, after which indirect probes are sent."""
         return 0.3 * self.period
 
     @property
     def sync_interval(self) -> float:
-        """Between two comparisons of the whole view with another member's."""
+        """Return the mean interval between two anti-entropy exchanges with a random member."""
         return 5.0 * self.period
 
     @property
     def first_call_delay(self) -> float:
-        """Until one that is dead is called for the first time; each next time twice as long."""
+        """Return the delay before a dead member is first contacted again; it doubles with each attempt."""
         return 2.0 * self.period
 
     @property
     def max_call_interval(self) -> float:
+        """Return the longest interval between two attempts to contact a dead member or a seed."""
         return 15.0 * self.period
 
     @property
     def left_retention(self) -> float:
-        """For which one that has left is told of."""
+        """Return how long the record of a member that has left is kept, so that it reaches all others."""
         return min(self.forget, 60.0 * self.period)
 
     def suspicion_timeout(self, fleet: int, confirmed: int) -> float:
-        """How long a member is suspected, of so many members, where so many others suspect it as well (Lifeguard)."""
+        """Return the suspicion timeout in a fleet of that size after so many confirmations by others (Lifeguard)."""
         least = self.suspicion * max(1.0, math.log10(max(fleet, 1))) * self.period
         wanted = min(HELPERS, fleet - 2)
         if wanted <= 0 or confirmed >= wanted:
@@ -176,34 +184,34 @@
         most = self.stretch * least
         return most - (most - least) * math.log(confirmed + 1) / math.log(wanted + 1)
 
-    # -- what follows: bounds that tests and operators may rely on, without loss and with healthy instances --
+    # -- bounds for tests and operators; they hold without datagram loss and with healthy instances --
 
     def spread_bound(self, fleet: int) -> float:
-        """For a change to reach all by gossip, or failing that by comparing views."""
+        """Return the time in which a change reaches all members by gossip, or failing that by anti-entropy."""
         return (2.0 * math.ceil(math.log2(fleet + 1)) + 1.0) * self.period + 2.0 * self.sync_interval
 
     def detection_bound(self, fleet: int) -> float:
-        """For a crash to be seen by all: each is probed once in a round, then suspected, then told of."""
+        """Return the time in which all members see a crash: a round of probes, the suspicion timeout, the spread."""
         return (2.0 * fleet + 1.0) * self.period + self.suspicion_timeout(fleet, 0) + self.spread_bound(fleet)
 
     def healing_bound(self, fleet: int) -> float:
-        """For halves to be one again: the next call of one that was dead, then spreading."""
+        """Return the time in which a partitioned fleet reunites: the next contact of a dead member, then the spread."""
         return 1.25 * self.max_call_interval + 2.0 * self.spread_bound(fleet)
 
 
 class Send(NamedTuple):
-    """A datagram to send."""
+    """A request to the owner to send a datagram."""
 
     address: Address
     data: bytes
 
 
 class Changed(NamedTuple):
-    """An event for subscribers in this process, in order."""
+    """An event for subscribers in this process; subscribers receive all events in order."""
 
     what: str  # joined, returned, suspected, refuted, died, left, forgotten, changed, taken, freed, stalled, settled
     name: str
-    life: int = 0
+    life: int = 0  # the generation; the field names are keys of the answer to `events`
     incarnation: int = 0
     told: str = ""
 
--- a/thistleshore/fleet/plan.py
+++ b/thistleshore/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of this instance's part in the fleet."""
+"""The settings of this instance's fleet membership."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """The fleet of that name, where this member hears and is reached, whom it calls first, and whom it hears."""
+    """Settings of the [fleet] table: name, listening and advertised address, seeds, zone, allowed networks, timing."""
 
     name: str
     listen: Address
--- a/thistleshore/fleet/wire.py
+++ b/thistleshore/fleet/wire.py
@@ -1,8 +1,8 @@
-"""Datagrams as bytes: `tF`, the version, a checksum of the rest, and MessagePack arrays.
+"""Encoding of datagrams: the magic `tF`, the version, a CRC-32 of the body, and the body as MessagePack arrays.
 
-Version 1 has no fingerprint in its records; version 2 has.  Whoever sends uses the newest version that the receiver is
-known to read, and the oldest to one that it knows nothing of.  Fields that a later version adds at the end of a record
-are passed over.
+Records of version 2 have a fingerprint, those of version 1 have none.  A sender uses the newest version that the
+receiver is known to read, and the oldest version towards an unknown receiver.  Fields that a later version appends to a
+record or a message are ignored.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 MAGIC = b"tF"
 OLDEST, NEWEST = 1, 2
 HEAD = struct.Struct("!2sBI")
-FIELDS = {1: 11, 2: 12}  # of a record
-RECORDS_MOST = 64  # in one datagram
+FIELDS = {1: 11, 2: 12}  # number of fields of a record by version
+RECORDS_MOST = 64  # records in one datagram
 
 PING, ACK, ASK, NACK, SYNC, REPLY, RECORDS = range(7)
 
 
 class DatagramError(Exception):
-    """What came is no datagram of ours; the text is the kind that is counted."""
+    """The bytes are no valid datagram of this fleet; the text is the name of the counter to increment."""
 
 
 class Message(msgspec.Struct, array_like=True):
-    """One datagram."""
+    """The body of a datagram, encoded by position."""
 
     fleet: str
-    to: str  # "": whoever is at the address
-    to_generation: int  # 0: of whatever life
-    observing: bool  # its sender is not a member: it is answered, and not taken in
+    to: str  # name of the receiver; "": whichever member has the address
+    to_generation: int  # 0: any generation
+    observing: bool  # the sender is not a member yet, or no longer: it is answered but not merged into the view
     kind: int
-    number: int  # of this sender's life; none counts twice
-    probe: int  # which probe it belongs to
-    digest: int  # of the sender's view
+    number: int  # sequence number within the sender's generation, for discarding duplicates
+    probe: int  # identifies the probe that this message is part of
+    digest: int  # digest of the sender's view
     sender: Record
-    target: str = ""  # ASK: whom to probe
-    buckets: bytes = b""  # SYNC, REPLY: checksums of parts of the view
+    target: str = ""  # ASK: the member to probe; ACK: the member that answered an indirect probe
+    buckets: bytes = b""  # SYNC, REPLY: checksums of the buckets of the sender's view
     records: Sequence[Record] = ()
-    known_count: int = 0  # how many members the sender knows, dead ones too
+    known_count: int = 0  # number of members that the sender knows, including dead ones
 
 
 class _Written(msgspec.Struct, array_like=True):
-    """The same, with records that are bytes already."""
+    """The same fields as Message, with records that are encoded already."""
 
     fleet: str
     to: str
@@ -71,14 +71,14 @@
 
 @lru_cache(maxsize=4096)
 def record_bytes(record: Record, version: int) -> bytes:
-    """A record as the version writes it."""
+    """Return the encoding of a record in that version."""
     return _encoder.encode(msgspec.structs.astuple(record)[: FIELDS[version]])
 
 
 def write(message: Message, records: Sequence[Record], version: int, most: int) -> tuple[bytes, int]:
-    """The datagram with as many of the records, from the first, as `most` bytes hold, and how many those are."""
+    """Return a datagram of at most `most` bytes with as many leading records as fit, and the number of those."""
     sender = record_bytes(message.sender, version)
-    # 48 bytes hold all numbers and every head of MessagePack around them.
+    # 48 bytes suffice for all numbers and the MessagePack headers of all fields.
     room = (
         most
         - HEAD.size
@@ -115,7 +115,10 @@
 
 
 def read(data: bytes, fleet: str, most: int) -> Message:
-    """What a datagram says, or Spoilt; the cheap checks come first, as anybody may send anything."""
+    """Return the decoded datagram.
+
+    Raises DatagramError.  The cheap checks come first, as any host may send any bytes.
+    """
     if len(data) > most or len(data) <= HEAD.size:
         raise DatagramError("size")
     magic, version, told = HEAD.unpack_from(data)
