--- a/benchmarks/contracts/surge.py
+++ b/benchmarks/contracts/surge.py
@@ -163,7 +163,7 @@
                 max_attempts=6,
                 max_retry_after=2.0,
                 tells_start=plan.front == "http",
-                second_copies=plan.front == "http",
+                hedging=plan.front == "http",
                 budget=None if plan.contracts else AttemptBudget(10.0, 0.2, 10.0),
             ),
             plan.seed * 7 + number,
@@ -213,7 +213,7 @@
             name = list(MEMBERS)[job.member]
             stamp, budget = self.ledger.on_open(number, job.job_class, name, 200, repeat, now)
             self.world.taken += not repeat
-            self.asks[number] = ask._replace(beyond=stamp.beyond, rank=stamp.rank, purse=budget)
+            self.asks[number] = ask._replace(beyond=stamp.beyond, rank=stamp.rank, retry_budget=budget)
             self.offers()
             return
         self.carry_out(self.brain.on_request(ask, now))
@@ -231,7 +231,9 @@
             for offer in due:
                 ask = self.asks.pop(offer.stream)
                 rule = CLASSES[ask.job_class]
-                left = ask._replace(budget=self.opened.pop(offer.stream) + rule.give_up - now, spare=offer.spare)
+                left = ask._replace(
+                    budget=self.opened.pop(offer.stream) + rule.give_up - now, reply_capacity=offer.spare
+                )
                 self._actions(self.brain.on_request(left, now))
         if self.ledger.waiting and self.looking <= now:
             self.looking = now + STEP
--- a/benchmarks/platform/size.py
+++ b/benchmarks/platform/size.py
@@ -142,10 +142,10 @@
             0,
             classes,
             (50.0,) * 9,
-            can_tell=True,
+            shares_notes=True,
             tells_start=True,
             can_cancel=True,
-            second_copies=True,
+            hedging=True,
             max_attempts=6,
             cold_from=0.12,
             warm_up=24.0,
@@ -168,7 +168,7 @@
         begun = time.process_time()
         for _ in range(5):
             note = Note(entries[random.randrange(size)].worker, random.randrange(3))
-            brain.on_told(1 + random.randrange(size - 1), (note,), now)
+            brain.on_notes(1 + random.randrange(size - 1), (note,), now)
         spent["note"] += time.process_time() - begun
         begun = time.process_time()
         for action in brain.on_request(Request(job, job % 3 == 0, 5.0, job % 9, job % 97 + 1), now):
--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -12,7 +12,7 @@
 from oxbowarch.hedging import overdue
 from oxbowarch.interface import NEVER_RAN, Action, Cancel, Effect, Entry, Fail, Group, ListKind
 from oxbowarch.interface import Log, Note, Outcome, Places, RefusalReason, Refuse, Report, Request, Send
-from oxbowarch.interface import Settings, State, Status, Tell, Timer, Watch, WorkerId
+from oxbowarch.interface import Settings, State, Status, SendNotes, Timer, Watch, WorkerId
 from oxbowarch.pace import SLOW_FADE, slowness
 from oxbowarch.records import Attempt, Decayed, Homes, Job, Jobs, KeyRing, MeanTable, RateTable, Smoothed
 from oxbowarch.records import Window, Worker
@@ -35,7 +35,7 @@
 DRAWS = 12  # tries of the rejection draw before the best one seen is taken
 KEY_PATIENCE, KEY_QUEUE, KEY_PLACES = 0.5, 0.25, 8  # of the aim, of slots, to wait for a home; servers noted
 FAILURES = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
-WATCH_BACKOFF = 0.5  # s, first wait after a failed call; doubled up to ask_within
+WATCH_BACKOFF = 0.5  # s, first wait after a failed call; doubled up to max_list_retry
 ZONE_SLACK, LOAD_MOST = 0.1, 3.0  # load, in slots' worth, by which the own zone may exceed others; cap of it
 HOLD_STEP, HOLD_MORE = 0.05, 0.7  # s between two looks for a held job; part of a usual run's grace it waits
 COPY_STEP = 0.2  # s between two looks for a job that calls for a second copy
@@ -56,7 +56,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.born, self.random = now, Random(seed)
-        self.telling = settings.can_tell and settings.balancers > 1
+        self.telling = settings.shares_notes and settings.balancers > 1
         # Share of slots in use: at the workers open to each class, in the own zone, and in the others.
         self.busy: dict[Places, Smoothed] = {}
         self.near, self.away = Smoothed(now, PRESSURE_FADE), Smoothed(now, PRESSURE_FADE)
@@ -83,7 +83,7 @@
         self.margin = 3 * settings.tick  # s before a deadline at which an answer still leaves in time
         self.cold_more = COLD_MORE * (settings.cold_factor if self.telling else 1.0)  # times least warmth
         # Where it is no proof, 'full' may come for work begun: sent again, an unsafe job could run twice.
-        self.proof = NEVER_RAN if settings.full_proves else NEVER_RAN - {Status.FULL}
+        self.proof = NEVER_RAN if settings.full_never_ran else NEVER_RAN - {Status.FULL}
         self.busy = {rule.places: Smoothed(now, PRESSURE_FADE) for rule in settings.classes} | self.busy
         self.bound = [places for places in {rule.places for rule in settings.classes} if places != ANYWHERE]
         # A window's edge is drawn against us by a tick each way: a ration must not be overdrawn by rounding.
@@ -117,7 +117,7 @@
         if kind is ListKind.FAILED:
             # A fleet of dispatchers asking again at once would keep the list service down.
             self.do.append(Timer(now + self.watch_wait * (0.5 + self.random.random()), LIST))
-            self.watching, self.watch_wait = False, min(2 * self.watch_wait, self.set.ask_within)
+            self.watching, self.watch_wait = False, min(2 * self.watch_wait, self.set.max_list_retry)
             return self.do
         if moved := kind is not ListKind.CHANGES:
             for known in self.workers.values():
@@ -135,8 +135,8 @@
         if moved:
             self._repool()
         self.watching, self.watch_wait = kind is not ListKind.CACHED, WATCH_BACKOFF
-        if not self.watching and self.set.must_ask:
-            self.do.append(Timer(now + self.set.ask_within / 2 * self.random.random(), LIST))
+        if not self.watching and self.set.list_on_request:
+            self.do.append(Timer(now + self.set.max_list_retry / 2 * self.random.random(), LIST))
         if not self.watching and self.telling:
             self._tell_all(now)
         return self.do
@@ -190,7 +190,7 @@
         late, best = self._late(ask), max(map(self._yield, range(len(self.set.classes))))
         part = 1.0 - self._yield(ask.job_class, late) / best if best else 0.0
         early = part * (SHED_LATE if late else SHED_EARLY)
-        if ask.spare < (SPARE_LEFT if not early else 1.0):
+        if ask.reply_capacity < (SPARE_LEFT if not early else 1.0):
             # Held, it would take the last means by which any client is answered.
             return self._refuse(ask, RefusalReason.DRAINING)
         overload = self._between(places, OVERLOAD[0] - early, OVERLOAD[1] - early)
@@ -256,7 +256,7 @@
         self.held.pop(job.id, None)
         if job.attempts:
             self.further.add(now)
-            job.ask.purse.pay(now)
+            job.ask.retry_budget.pay(now)
         job.attempts.append(Attempt(worker, job.ask.job_class, now, self.set.tells_start))
         job.out += 1
         worker.count_out(1, REPORT_FADE, now)
@@ -264,7 +264,7 @@
         worker.sent.append(now)
         self.do.append(Send(job.id, worker.id))
         self._note(worker, now)
-        if self.set.second_copies and self.set.tells_start and len(job.attempts) == 1:
+        if self.set.hedging and self.set.tells_start and len(job.attempts) == 1:
             self.do.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
 
     def _look(self, job: Job, now: float) -> None:
@@ -304,8 +304,8 @@
     def _may_try(self, job: Job, now: float) -> bool:
         """May one more attempt go out?  Never doubles an effect."""
         over = now >= job.deadline - self.margin or len(job.attempts) >= job.most
-        unpaid = bool(job.attempts) and job.ask.purse.left(now) < 1.0  # the client hears so at once
-        if over or unpaid or job.out and not self.set.second_copies:
+        unpaid = bool(job.attempts) and job.ask.retry_budget.left(now) < 1.0  # the client hears so at once
+        if over or unpaid or job.out and not self.set.hedging:
             return False
         ran, rule = job.ran_first(), job.rule
         if ran is None or rule.effect is Effect.SAFE:
@@ -449,7 +449,7 @@
         """Tell those at home there at once: of little traffic each, all alone would learn too late."""
         if self.telling:
             note = self.news[worker.id] = Note(worker.id, worker.out, pace, failed)
-            self.do.append(Tell((note,), self.homes.others(worker, self.set.me)))
+            self.do.append(SendNotes((note,), self.homes.others(worker, self.set.me)))
 
     def _tell_all(self, now: float) -> None:
         """All hear all, later; what is out for long is told again, as notes grow old and may be lost."""
@@ -457,11 +457,11 @@
         self.news = {w.id: Note(w.id, w.out) for w in old} | self.news
         for told in self.news:
             self.workers[told].told_at = now
-        self.do.append(Tell(tuple(self.news.values())))
+        self.do.append(SendNotes(tuple(self.news.values())))
         self.do.append(Timer(now + NOTE_EVERY * (0.5 + self.random.random()), NOTES))
         self.news = {}
 
-    def on_told(self, peer: int, notes: tuple[Note, ...], now: float) -> list[Action]:
+    def on_notes(self, peer: int, notes: tuple[Note, ...], now: float) -> list[Action]:
         """Another dispatcher tells what it has out, and how what it had out ended."""
         self.do, self.heard_at = [], now if self.set.balancers > FEW else self.heard_at
         for note in notes:
@@ -492,13 +492,14 @@
         if report is None or report.free is None:
             return
         # A late report shows own attempts as they were a moment ago: the emptiest would be crowded.
-        queued = report.queue if report.queue is not None else max(0.0, (report.held or 0.0) - worker.size)
+        in_flight = report.in_flight or 0.0
+        queued = report.queue if report.queue is not None else max(0.0, in_flight - worker.size)
         worker.room = report.free - queued + worker.count_out(0, REPORT_FADE, now)
         worker.report_until = now + REPORT_AGE
         # Shut out for long it crowds the rest, unless 'full' is common; told starts say sooner what waits.
         part = FULL_PART * self.full.mean() + (0.0 if self.set.tells_start else NO_ROOM_PART)
         worker.no_room_until = now + REPORT_AGE * min(1.0, part)
-        running = (report.held or 0.0) - queued if report.free >= 1.0 else 0.0
+        running = in_flight - queued if report.free >= 1.0 else 0.0
         worker.size = max(worker.size, report.free + running, 1.0)
         self.most = max(self.most, min(report.free, 1000.0))
         self.usual[worker.entry.kind].see(report.free, now)
@@ -535,9 +536,9 @@
             return self.do
         attempt = job.attempts[event.attempt]
         attempt.end(event.status not in self.proof)
-        if event.status is Status.MOOT and event.attempt and attempt.at in self.further.times:
+        if event.status is Status.NOT_SENT and event.attempt and attempt.at in self.further.times:
             self.further.times.remove(attempt.at)  # it was never sent
-            job.ask.purse.give_back(now)
+            job.ask.retry_budget.give_back(now)
         job.out -= 1
         self._judge(job, attempt, event, now)
         if event.closed or job.ended:
--- a/oxbowarch/interface.py
+++ b/oxbowarch/interface.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple, Protocol
 
 WorkerId = bytes
-BALANCERS_MOST = 65_535  # the simulator's wire numbers them by two bytes; a list is kept of as many
+MAX_BALANCERS = 65_535  # the simulator's wire numbers them by two bytes; a list is kept of as many
 Places = tuple[tuple[int, ...] | None, tuple[int, ...] | None]  # machine kinds and zones; None: any
 
 
@@ -58,10 +58,10 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
-NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
+NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT))
 
 
 class State(Enum):
@@ -129,12 +129,12 @@
     limits: tuple[float, ...] = ()
     reports: Reports = Reports.NONE
     me: int = 0  # which of the balancers this is
-    can_tell: bool = False  # dispatchers may send one another notes
-    must_ask: bool = False  # the list comes only when asked for
-    ask_within: float = 10.0
+    shares_notes: bool = False  # dispatchers may send one another notes
+    list_on_request: bool = False  # the list comes only when asked for
+    max_list_retry: float = 10.0
     drain_within: float = 3.0  # s after it is told that a worker drains or is gone, when nothing more may go there
     can_cancel: bool = False
-    second_copies: bool = False
+    hedging: bool = False
     max_attempts: int = 3
     max_retry_after: float = 0.0  # 0: clients take no such advice
     tells_start: bool = False
@@ -144,14 +144,14 @@
     cold_factor: float = 4.0  # times its present capacity that a cold worker may be sent, of all balancers together
     cold_span: float = 2.0  # s for which it bears that
     budget: AttemptBudget | None = None  # None: further attempts are not rationed
-    full_proves: bool = True  # an attempt answered 'full' never ran
+    full_never_ran: bool = True  # an attempt answered 'full' never ran
 
     def __post_init__(self) -> None:
         for name, low in (("balancers", 1), ("zone", 0), ("max_attempts", 1), ("tick", 0), ("warm_up", 0)):
             if not getattr(self, name) >= low:
                 raise ValueError(f"settings: {name} must be a number of at least {low}")
-        if self.balancers > BALANCERS_MOST:
-            raise ValueError(f"settings: balancers must be a number of at most {BALANCERS_MOST}")
+        if self.balancers > MAX_BALANCERS:
+            raise ValueError(f"settings: balancers must be a number of at most {MAX_BALANCERS}")
         if not (isfinite(self.drain_within) and self.drain_within > 0):
             raise ValueError("settings: drain_within must be a finite number above 0")
         if not self.classes:
@@ -185,10 +185,10 @@
 
     free: float | None = None
     queue: float | None = None
-    held: float | None = None
+    in_flight: float | None = None
 
 
-class Purse(Protocol):
+class RetryBudget(Protocol):
     """A budget that pays for attempts beyond the first.  It only counts: whether one goes out is the module's say."""
 
     def left(self, now: float) -> float: ...
@@ -198,7 +198,7 @@
     def give_back(self, now: float) -> None: ...
 
 
-class Unlimited:
+class UnlimitedRetries:
     """The purse of a request for which no contract pays."""
 
     def left(self, now: float) -> float:
@@ -211,7 +211,7 @@
         """Nothing was counted."""
 
 
-UNLIMITED = Unlimited()
+UNLIMITED_RETRIES = UnlimitedRetries()
 
 
 class Request(NamedTuple):
@@ -222,10 +222,10 @@
     key: int = 0  # 0: none
     slots: float = 1.0
     repeat: bool = False  # a client's marked repeat
-    spare: float = 1.0  # how far the means to answer clients by go, as in a drain: 1 enough, 0 nothing left
+    reply_capacity: float = 1.0  # how far the means to answer clients by go, as in a drain: 1 enough, 0 nothing left
     beyond: bool | None = None  # beyond its contract's share, or within; None: no contracts are kept
     rank: float = 0.0  # of what waits, within before beyond, the lowest first; within it is when it is wanted
-    purse: Purse = UNLIMITED  # pays for its further attempts, besides the settings' budget
+    retry_budget: RetryBudget = UNLIMITED_RETRIES  # pays for its further attempts, besides the settings' budget
 
 
 class Outcome(NamedTuple):
@@ -278,7 +278,7 @@
     failed: bool = False  # one has just failed there
 
 
-class Tell(NamedTuple):
+class SendNotes(NamedTuple):
     """Tell some other dispatchers, or all; it may come late, out of order, twice or not at all."""
 
     notes: tuple[Note, ...]
@@ -289,4 +289,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Timer | Watch | Tell | Log
+Action = Send | Refuse | Fail | Cancel | Timer | Watch | SendNotes | Log
--- a/oxbowarch/simhost.py
+++ b/oxbowarch/simhost.py
@@ -9,7 +9,7 @@
 
 from oxbowarch import wire
 from oxbowarch.brain import Brain
-from oxbowarch.interface import ListKind, Outcome, Request, Tell
+from oxbowarch.interface import ListKind, Outcome, Request, SendNotes
 from oxbowarch.notes import Notebook
 
 
@@ -29,7 +29,7 @@
         for instance, event in events:
             try:
                 for action in self.deliver(instance, event, now):
-                    if isinstance(action, Tell):
+                    if isinstance(action, SendNotes):
                         notes = self.notebooks[instance].write(action.notes)
                         to = (wire.EVERYONE,) if action.to is None else action.to
                         records += [wire.broadcast(instance, peer, data) for data in notes for peer in to]
@@ -72,7 +72,7 @@
             return brain.on_timer(event.token, now)
         if kind is wire.Mail:
             notes = self.notebooks[instance].read(event.sender, event.data, now)
-            return brain.on_told(event.sender, notes, now) if notes else ()
+            return brain.on_notes(event.sender, notes, now) if notes else ()
         if kind is wire.Update:
             self.notebooks[instance].list_names(event.entries, event.kind in (ListKind.FULL, ListKind.CACHED))
             return brain.on_list(event.kind, event.entries, now)
--- a/oxbowarch/wire.py
+++ b/oxbowarch/wire.py
@@ -35,7 +35,7 @@
 
 STATUSES = {
     100: Status.OK, 301: Status.ERROR, 302: Status.FULL, 303: Status.TIMEOUT,
-    304: Status.CONNECT_FAILED, 305: Status.RESET, 306: Status.CANCELLED, 307: Status.MOOT,
+    304: Status.CONNECT_FAILED, 305: Status.RESET, 306: Status.CANCELLED, 307: Status.NOT_SENT,
 }  # fmt: skip
 STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
 LIST_KINDS = {0: ListKind.FAILED, 1: ListKind.CACHED, 2: ListKind.CHANGES, 3: ListKind.FULL}
@@ -401,12 +401,12 @@
         limits=tuple(float(need(tenant, "quotaPerS")) for tenant in conf.get("tenants", [])),
         reports=how,
         me=int(conf.get("me", 0)),
-        can_tell=bool(limits.get("peers", False)),
-        must_ask=discovery,
-        ask_within=float(rules.get("askWithin", 10.0)),
+        shares_notes=bool(limits.get("peers", False)),
+        list_on_request=discovery,
+        max_list_retry=float(rules.get("askWithin", 10.0)),
         drain_within=float(rules.get("stopSendingWithin", 3.0)),
         can_cancel=bool(limits.get("cancelling", False)),
-        second_copies=bool(limits.get("secondCopies", False)),
+        hedging=bool(limits.get("secondCopies", False)),
         max_attempts=int(need(conf, "limits", "maxAttempts")),
         max_retry_after=advice,
         tells_start=bool(info.get("tellsStart", False)),
@@ -416,7 +416,7 @@
         cold_factor=float(rules.get("overloadFactor", 4.0)),
         cold_span=float(rules.get("overloadFor", 2.0)),
         budget=attempt_budget(rules),
-        full_proves=not flag(rules, "fullUnproven"),
+        full_never_ran=not flag(rules, "fullUnproven"),
     )
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -293,7 +293,7 @@
 
 
 def test_the_list_is_asked_for_and_asked_again_with_backoff() -> None:
-    brain = Brain(Settings(balancers=9, zone=0, classes=(SAFE,), must_ask=True), 1, 0.0)
+    brain = Brain(Settings(balancers=9, zone=0, classes=(SAFE,), list_on_request=True), 1, 0.0)
     (timer,) = brain.on_list(ListKind.CACHED, fleet(3), 0.0)
     assert isinstance(timer, Timer) and 0 <= timer.at <= 5.0
     assert brain.on_timer(timer.token, timer.at) == [Watch()]
@@ -385,7 +385,7 @@
     assert len(brain.jobs) == held + 4
 
 
-@pytest.mark.parametrize("more", [{"balancers": 200, "can_tell": True}, {"balancers": 7}, {"tells_start": False}])
+@pytest.mark.parametrize("more", [{"balancers": 200, "shares_notes": True}, {"balancers": 7}, {"tells_start": False}])
 def test_elsewhere_as_many_wait_as_there_are_workers(more: dict[str, object]) -> None:
     brain = make(count=30, **{"balancers": 200, "tells_start": True, **more})
     assert len(asked(brain, 20)) > 10
@@ -702,7 +702,7 @@
 
 def copying(count: int = 3) -> tuple[Brain, Send]:
     """A brain that may copy, after some jobs of half a second, and a job of its that has just started."""
-    brain = make(count=count, tells_start=True, second_copies=True, can_cancel=True)
+    brain = make(count=count, tells_start=True, hedging=True, can_cancel=True)
     run_jobs(brain, dict.fromkeys(map(name, range(count)), 0.5))
     (send,) = sent(brain.on_request(Request(900, 0, 5.0), 50.0))
     brain.on_started(900, 0, 50.0)
@@ -755,7 +755,7 @@
 def test_a_keyed_copy_stays_in_its_cell() -> None:
     keyed = JobClass(Effect.KEYED, Group.CELL, repeat_window=4.0)
     for seed in range(20):
-        settings = Settings(balancers=1, zone=0, classes=(keyed,), second_copies=True, tells_start=True)
+        settings = Settings(balancers=1, zone=0, classes=(keyed,), hedging=True, tells_start=True)
         brain = Brain(settings, seed, 0.0)
         brain.on_list(ListKind.FULL, tuple(Entry(name(n), State.READY, cell=n // 2) for n in range(6)), 0.0)
         (send,) = sent(brain.on_request(Request(900, 0, 9.0), 50.0))
@@ -778,7 +778,7 @@
 def test_the_last_means_to_answer_are_left_to_the_class_that_earns_most() -> None:
     brain = make(classes=(JobClass(Effect.SAFE, worth=3.0), JobClass(Effect.KEYED, worth=10.0)))
     refused = {
-        (n, spare): any(isinstance(a, Refuse) for a in brain.on_request(Request(i, n, 5.0, spare=spare), 0.0))
+        (n, spare): any(isinstance(a, Refuse) for a in brain.on_request(Request(i, n, 5.0, reply_capacity=spare), 0.0))
         for i, (n, spare) in enumerate([(0, 1.0), (0, 0.8), (1, 0.8), (1, 0.4)])
     }
     assert refused == {(0, 1.0): False, (0, 0.8): True, (1, 0.8): False, (1, 0.4): True}
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -85,7 +85,7 @@
     codec.place(3, ["rate", "rif", "x0"])
     ((_, outcome),) = decode(RETURNED, codec=codec)
     assert outcome[:4] == (TXN, 0, RUNNER, Status.OK) and outcome.closed
-    assert outcome.report == Report(free=pytest.approx(0.4), queue=None, held=7.0)
+    assert outcome.report == Report(free=pytest.approx(0.4), queue=None, in_flight=7.0)
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
         (304, Status.CONNECT_FAILED),
         (305, Status.RESET),
         (306, Status.CANCELLED),
-        (307, Status.MOOT),
+        (307, Status.NOT_SENT),
     ],
 )
 def test_statuses(code: int, status: Status) -> None:
@@ -280,12 +280,12 @@
 
 def test_further_rules_are_optional_and_passed_on() -> None:
     plain = wire.settings(conf())
-    assert plain.budget is None and plain.full_proves and plain.classes[0].places == (None, None)
+    assert plain.budget is None and plain.full_never_ran and plain.classes[0].places == (None, None)
     whole = conf()
     whole["rules"] = {**whole["rules"], "minExtra": 10, "furtherRatio": 0.1, "budgetSpan": 5.0, "fullUnproven": True}
     whole["lanes"][0] = {**whole["lanes"][0], "boundTo": [1, 0], "localitiesAllowed": [2]}
     found = wire.settings(whole)
-    assert found.budget == api.AttemptBudget(10.0, 0.1, 5.0) and not found.full_proves
+    assert found.budget == api.AttemptBudget(10.0, 0.1, 5.0) and not found.full_never_ran
     assert found.classes[0].places == ((0, 1), (2,))
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -60,7 +60,7 @@
     assert plan.http is not None and plan.beanstalkd is None
     assert (plan.name, plan.seed, plan.http.listen, plan.http.known_seq) == ("n4", 0x8C1F, ("127.0.0.2", 1), 41)
     assert plan.http.discovery == ("127.0.0.1", 8500) and plan.known[0].entry.worker == b"s-1"
-    assert not plan.settings.can_tell and plan.idle_most == pytest.approx(9.0)
+    assert not plan.settings.shares_notes and plan.idle_most == pytest.approx(9.0)
     assert plan.downstream_most + plan.upstream_most < 1024 - config.SOCKETS_SPARE + 1
 
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -239,18 +239,18 @@
 @given(st.lists(st.tuples(st.sampled_from(["earn", "pay", "back"]), st.floats(0, 3)), max_size=60))
 def test_budgets_are_never_negative(story: list[tuple[str, float]]) -> None:
     account, now, out = RetryBudget(Retries(0.3, 2.0, 5.0), 0.0), 0.0, 0
-    purse = CombinedRetryBudget(account, RetryBudget(Retries(0.3, 2.0, 5.0), 0.0))
+    retry_budget = CombinedRetryBudget(account, RetryBudget(Retries(0.3, 2.0, 5.0), 0.0))
     for what, wait in story:
         now += wait
         if what == "earn":
             account.earn(now)
-        elif what == "pay" and purse.left(now) >= 1.0:
-            purse.pay(now)
+        elif what == "pay" and retry_budget.left(now) >= 1.0:
+            retry_budget.pay(now)
             out += 1
         elif what == "back" and out:
-            purse.give_back(now)
+            retry_budget.give_back(now)
             out -= 1
-        assert 0.0 <= purse.left(now) <= account.left(now)
+        assert 0.0 <= retry_budget.left(now) <= account.left(now)
 
 
 def module(classes: tuple[JobClass, ...] = (JobClass(Effect.SAFE), JobClass(Effect.UNSAFE)), hosts: int = 4) -> Brain:
@@ -266,9 +266,11 @@
 def test_a_budget_that_runs_out_before_a_retry_gives_one_answer_at_once(
     job_class: int, status: Status, end: type
 ) -> None:
-    brain, purse = module(), CombinedRetryBudget(RetryBudget(NONE, 0.0))
+    brain, retry_budget = module(), CombinedRetryBudget(RetryBudget(NONE, 0.0))
     (send,) = [
-        a for a in brain.on_request(Request(1, job_class, 5.0, beyond=False, purse=purse), 0.0) if isinstance(a, Send)
+        a
+        for a in brain.on_request(Request(1, job_class, 5.0, beyond=False, retry_budget=retry_budget), 0.0)
+        if isinstance(a, Send)
     ]
     answers = brain.on_outcome(Outcome(1, 0, send.worker, status, 0.1, False), 0.1)
     (answer,) = [a for a in answers if not isinstance(a, Timer)]
@@ -278,14 +280,18 @@
 
 def test_the_module_pays_for_further_attempts_and_takes_back_what_was_never_sent() -> None:
     brain, account = module(), RetryBudget(Retries(0.0, 2.0), 0.0)
-    purse = CombinedRetryBudget(account)
-    (send,) = [a for a in brain.on_request(Request(1, 0, 5.0, beyond=False, purse=purse), 0.0) if isinstance(a, Send)]
+    retry_budget = CombinedRetryBudget(account)
+    (send,) = [
+        a
+        for a in brain.on_request(Request(1, 0, 5.0, beyond=False, retry_budget=retry_budget), 0.0)
+        if isinstance(a, Send)
+    ]
     assert account.spent == 0
     (again,) = [
         a for a in brain.on_outcome(Outcome(1, 0, send.worker, Status.ERROR, 0.1, False), 0.1) if isinstance(a, Send)
     ]
     assert account.spent == 1
-    brain.on_outcome(Outcome(1, 1, again.worker, Status.MOOT, 0.1, False), 0.2)
+    brain.on_outcome(Outcome(1, 1, again.worker, Status.NOT_SENT, 0.1, False), 0.2)
     assert account.spent == 1  # given back, and paid again for the one that follows
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -31,7 +31,7 @@
 
 
 def settings(balancers: int = 1, asked: bool = False, limit: float = DRAIN) -> Settings:
-    return Settings(balancers, 0, (JobClass(Effect.SAFE),), must_ask=asked, drain_within=limit)
+    return Settings(balancers, 0, (JobClass(Effect.SAFE),), list_on_request=asked, drain_within=limit)
 
 
 def watching(where: int, seq: int = 7, of: Settings | None = None, seed: int = 0) -> discovery.Discovery:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -145,11 +145,11 @@
         return (await carried(pool, request_to(host))).status
 
     found, seen = play(with_host, scenario, [FULL])
-    assert found is Status.MOOT and not seen
+    assert found is Status.NOT_SENT and not seen
 
 
 @pytest.mark.parametrize(
-    ("problem", "status"), [(errno.EMFILE, Status.MOOT), (errno.ECONNREFUSED, Status.CONNECT_FAILED)]
+    ("problem", "status"), [(errno.EMFILE, Status.NOT_SENT), (errno.ECONNREFUSED, Status.CONNECT_FAILED)]
 )
 def test_no_socket_left_is_no_fault_of_the_host(monkeypatch: pytest.MonkeyPatch, problem: int, status: Status) -> None:
     async def fail(address: object) -> trio.SocketStream:
@@ -184,7 +184,7 @@
         pool.open = pool.ways.sockets_most  # all in use
         return [(await carried(pool, request_to(host))).status]
 
-    assert play(with_host, scenario, [FULL])[0] == [Status.MOOT]
+    assert play(with_host, scenario, [FULL])[0] == [Status.NOT_SENT]
 
 
 def test_datagrams_of_strangers_and_of_the_wrong_size_change_nothing() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from oxbowarch.brain import Brain
 from oxbowarch.interface import (
     Cancel, Effect, Entry, Fail, JobClass, ListKind, Note, Outcome, Refuse, Report, Request, Send, Settings, State,
-    Status, Tell, Timer,
+    Status, SendNotes, Timer,
 )  # fmt: skip
 from oxbowarch.notes import BYTES_MOST, FAILED, LAST_FEW, Notebook, short
 from oxbowarch.records import Homes, Worker
@@ -37,7 +37,7 @@
     def __init__(self, dispatchers: int, workers: int, telling: bool, lost: float = 0.0, seed: int = 1,
                  **more: Any) -> None:  # fmt: skip
         self.random, self.lost, self.now = Random(seed), lost, 0.0
-        settings = dict(classes=(SEARCH,), can_tell=telling, tells_start=True, can_cancel=True, second_copies=True,
+        settings = dict(classes=(SEARCH,), shares_notes=telling, tells_start=True, can_cancel=True, hedging=True,
                         max_attempts=6, cold_from=0.12, warm_up=24.0, max_retry_after=2.0) | more  # fmt: skip
         self.brains = [Brain(Settings(balancers=dispatchers, zone=0, me=n, **settings), seed * 100 + n, 0.0)  # type: ignore[arg-type]
                        for n in range(dispatchers)]  # fmt: skip
@@ -81,7 +81,7 @@
                 self.at(self.now + 0.001, self.arrive, action.worker, (n, action.id, len(attempts) - 1))
             elif isinstance(action, Timer):
                 self.at(max(action.at, self.now + 1e-6), self.fire, n, action.token)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendNotes):
                 self.tells += 1
                 for peer in range(len(self.brains)) if action.to is None else action.to:
                     if peer != n and self.random.random() >= self.lost:
@@ -95,7 +95,7 @@
         self.act(n, self.brains[n].on_timer(token, self.now))
 
     def hear(self, n: int, peer: int, notes: tuple[Note, ...]) -> None:
-        self.act(n, self.brains[n].on_told(peer, notes, self.now))
+        self.act(n, self.brains[n].on_notes(peer, notes, self.now))
 
     def arrive(self, worker: bytes, job: tuple[int, int, int]) -> None:
         self.queue[worker].append(job)
@@ -195,7 +195,7 @@
     """It earns late_share at best; served first, it makes the next one late too, and no first try is in time."""
     passed = {}
     for repeat, budget in ((False, 10.0), (True, 9.9), (True, 8.0)):
-        brain = Brain(Settings(40, 0, (SEARCH,), can_tell=True), 3, 0.0)
+        brain = Brain(Settings(40, 0, (SEARCH,), shares_notes=True), 3, 0.0)
         brain.on_list(ListKind.CACHED, tuple(Entry(worker_name(n), State.READY) for n in range(60)), 0.0)
         brain.counted_at = 99.0
         for _ in range(400):
@@ -206,11 +206,11 @@
 
 
 def test_what_a_peer_that_died_had_out_is_forgotten() -> None:
-    brain = Brain(Settings(2, 0, (SEARCH,), can_tell=True), 1, 0.0)
+    brain = Brain(Settings(2, 0, (SEARCH,), shares_notes=True), 1, 0.0)
     brain.on_list(ListKind.CACHED, (Entry(b"a", State.READY),), 0.0)
-    brain.on_told(1, (Note(b"a", 3),), 1.0)
+    brain.on_notes(1, (Note(b"a", 3),), 1.0)
     assert brain.workers[b"a"].in_work(2.0) == 3 and brain.workers[b"a"].in_work(4.1) == 0
-    assert brain.on_told(1, (Note(b"unheard of", 3),), 1.0) == [] and len(brain.workers) == 1
+    assert brain.on_notes(1, (Note(b"unheard of", 3),), 1.0) == [] and len(brain.workers) == 1
 
 
 def test_those_that_hear_nobody_keep_to_their_part_of_the_slots(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -233,9 +233,9 @@
     """A restart by hand takes one of two away: the other must not keep to its half meanwhile."""
     sent = {}
     for dispatchers, now in ((2, 3.0), (7, 3.0), (8, 3.0), (8, 12.5)):
-        brain = Brain(Settings(dispatchers, 0, (SEARCH,), can_tell=True), 1, 0.0)
+        brain = Brain(Settings(dispatchers, 0, (SEARCH,), shares_notes=True), 1, 0.0)
         brain.on_list(ListKind.CACHED, tuple(Entry(worker_name(n), State.READY) for n in range(8)), 0.0)
-        brain.on_told(1, (Note(worker_name(0), 1),), 0.0)
+        brain.on_notes(1, (Note(worker_name(0), 1),), 0.0)
         actions = [action for n in range(8) for action in brain.on_request(Request(n, 0, 5.0), now)]
         sent[dispatchers, now] = sum(isinstance(action, Send) for action in actions)
     assert sent[8, 3.0] < 4 <= min(sent[2, 3.0], sent[7, 3.0], sent[8, 12.5]), sent
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -49,7 +49,7 @@
 
     def __init__(self, copies: bool = False) -> None:
         rule = JobClass(Effect.SAFE, give_up=5.0)
-        of = Settings(1, 0, (rule,), max_attempts=3, second_copies=copies, tells_start=copies, can_cancel=False)
+        of = Settings(1, 0, (rule,), max_attempts=3, hedging=copies, tells_start=copies, can_cancel=False)
         self.broker = Broker(Brain(of, 1, trio.current_time()), ("c",))
         self.pool = upstream.Upstreams(upstream.Ways(1.5, 5.0, 400))
         self.broker.carriers[tuple] = self.pool
@@ -216,7 +216,7 @@
         inbox, _keep = trio.open_memory_channel[model.Event](9)
         return request.sent, (await upstream.Upstreams(upstream.Ways(0.2, 5.0, 4)).carry(request, inbox)).status
 
-    assert play(scenario) == (False, Status.MOOT)
+    assert play(scenario) == (False, Status.NOT_SENT)
 
 
 def test_what_a_client_sends_on_while_it_waits_is_answered_as_an_error_also_where_the_broker_saw_it_first() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,7 +13,7 @@
     Request, Send, Settings, State, Status, Timer,
 )  # fmt: skip
 
-PROVES_NOT_RUN = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
+PROVES_NOT_RUN = {Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT}
 CLASSES = (
     JobClass(Effect.SAFE, aim=0.3, give_up=3.0),
     JobClass(Effect.KEYED, Group.ALL, repeat_window=1.0, aim=0.3),
@@ -46,8 +46,8 @@
         self.unproven = set() if proves else {Status.FULL}
         self.rules = Settings(
             balancers=3 if telling else 1, zone=0, classes=CLASSES, limits=(2.0, 50.0), can_cancel=True,
-            second_copies=copies, reports=Reports.WITH_ANSWERS, can_tell=telling, max_attempts=4,
-            tells_start=True, tick=TICK, full_proves=proves, budget=budget,
+            hedging=copies, reports=Reports.WITH_ANSWERS, shares_notes=telling, max_attempts=4,
+            tells_start=True, tick=TICK, full_never_ran=proves, budget=budget,
         )  # fmt: skip
         self.brain = Brain(self.rules, seed, 0.0)
         self.now = 0.0
@@ -144,7 +144,7 @@
     def end(self, request: int, number: int, status: Status) -> None:
         attempt = self.attempts[request][number]
         attempt["out"], attempt["may"] = False, status not in PROVES_NOT_RUN - self.unproven
-        if status is Status.MOOT:
+        if status is Status.NOT_SENT:
             self.further = [f for f in self.further if f[1:] != (request, number)]
         if status is Status.OK:
             self.open.pop(request, None)
@@ -170,7 +170,7 @@
             self.end(request, number, list(Status)[b % len(Status)])
         elif kind == 6:
             notes = (Note(place(a % 7).worker, b % 5, (None, 1.5, 0.0)[b % 3], b % 4 == 0),)
-            self.take(self.brain.on_told(a % 3, notes, self.now))
+            self.take(self.brain.on_notes(a % 3, notes, self.now))
         elif kind == 7:
             number = a % 6
             entry = place(number)._replace(state=list(State)[b % 3], started_at=self.now if b % 2 else 0.0)
@@ -247,7 +247,7 @@
 
 def test_a_held_job_is_answered_once_its_window_has_passed() -> None:
     keyed = JobClass(Effect.KEYED, Group.ZONE, repeat_window=0.1, aim=2.0)
-    brain = Brain(Settings(balancers=1, zone=0, classes=(keyed,), full_proves=False), 1, 0.0)
+    brain = Brain(Settings(balancers=1, zone=0, classes=(keyed,), full_never_ran=False), 1, 0.0)
     brain.on_list(ListKind.CACHED, (place(0),), 0.0)
     (send,) = [a for a in brain.on_request(Request(1, 0, 5.0), 0.0) if isinstance(a, Send)]
     brain.on_outcome(Outcome(1, 0, send.worker, Status.FULL, 0.0, False), 0.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -77,7 +77,7 @@
             brain.on_started(action.id, 0, now)
             status = list(Status)[n % len(Status)]
             brain.on_outcome(Outcome(action.id, 0, action.worker, status, 0.1, False, Report(1.0, 0.0, 2.0)), now)
-    brain.on_told(1, (Note(b"s-1", 2, 0.5, True),), now)
+    brain.on_notes(1, (Note(b"s-1", 2, 0.5, True),), now)
 
 
 @pytest.mark.parametrize("value", VALUES, ids=lambda value: "missing" if value is MISSING else repr(value))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -184,7 +184,7 @@
 
 def test_jobs_that_are_admitted_and_then_refused_do_not_raise_the_rate_of_a_cold_server() -> None:
     """Held for room and refused later they were counted as if each worker had taken its part of them."""
-    settings = Settings(2, 0, (SEARCH,), can_tell=True, tells_start=True, cold_from=0.12, warm_up=24.0)
+    settings = Settings(2, 0, (SEARCH,), shares_notes=True, tells_start=True, cold_from=0.12, warm_up=24.0)
     brain = Brain(settings, 1, 0.0)
     brain.on_list(ListKind.FULL, (Entry(b"a", State.READY), Entry(b"cold", State.READY, started_at=9.0)), 9.0)
     for _ in range(200):
--- a/thistleshore/beanstalkd/upstream.py
+++ b/thistleshore/beanstalkd/upstream.py
@@ -160,7 +160,7 @@
             if not request.host.ready or not request.stream.wanted:
                 slot.taken = False
                 crew.slots.appendleft(slot)
-                return UpstreamOutcome(Status.MOOT)
+                return UpstreamOutcome(Status.NOT_SENT)
             try:
                 await session.send(with_body(job.body, b"RESERVED", job.id))
             except BROKEN:
--- a/thistleshore/config/platform.py
+++ b/thistleshore/config/platform.py
@@ -209,8 +209,8 @@
             seq, _, known = read_hosts(conf["known"], names, at_epoch(epoch))
         except Malformed as problem:
             raise ConfigError(f"known: {problem}") from None
-    peers = _peers(conf) if settings.can_tell else None
-    settings = replace(settings, can_tell=peers is not None)
+    peers = _peers(conf) if settings.shares_notes else None
+    settings = replace(settings, shares_notes=peers is not None)
     discovery = environ.get("PROXY_DISCOVERY") or conf.get("discovery")
     where = "PROXY_DISCOVERY" if environ.get("PROXY_DISCOVERY") else "discovery"
     classes, tenants = named(raw.get("lanes", []), "settings.lanes"), named(raw.get("tenants", []), "settings.tenants")
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -17,7 +17,7 @@
 
 from oxbowarch.brain import Brain
 from oxbowarch.interface import NEVER_RAN, Action, Cancel, Fail, Log, ListKind, Outcome, Refuse, Request
-from oxbowarch.interface import Send, State, Status, Tell, Timer, Watch
+from oxbowarch.interface import Send, State, Status, SendNotes, Timer, Watch
 from oxbowarch.notes import Notebook
 from thistleshore.core import model
 from thistleshore.core.figures import ProcessFigures
@@ -172,7 +172,7 @@
             return self._on_withdrawn(event.stream, now)
         if isinstance(event, model.NotesReceived):
             notes = self.notebook.read(event.peer, event.data, now)
-            return self.brain.on_told(event.peer, notes, now) if notes else []
+            return self.brain.on_notes(event.peer, notes, now) if notes else []
         if isinstance(event, model.PeerDatagramReceived):
             return self._on_peer_datagram(event.data, now)
         if isinstance(event, model.HostReported):
@@ -212,14 +212,14 @@
             stream.tenant,
             stream.key,
             repeat=stream.repeat,
-            spare=stream.spare,
+            reply_capacity=stream.spare,
         )
         if self.ledger is None:
             return self.brain.on_request(request, now)
         stamp, retry_budget = self.ledger.on_open(
             stream.id, stream.job_class, stream.member, stream.size, stream.repeat, now, request.budget
         )
-        self._unoffered[stream.id] = request._replace(beyond=stamp.beyond, rank=stamp.rank, purse=retry_budget)
+        self._unoffered[stream.id] = request._replace(beyond=stamp.beyond, rank=stamp.rank, retry_budget=retry_budget)
         return []
 
     def _offer(self, ledger: Ledger, now: float) -> None:
@@ -228,7 +228,9 @@
             for offer in offers:
                 request, stream = self._unoffered.pop(offer.stream, None), self._streams.get(offer.stream)
                 if request is not None and stream is not None and not stream.over:
-                    renewed = request._replace(budget=stream.deadline - now, spare=min(request.spare, offer.spare))
+                    renewed = request._replace(
+                        budget=stream.deadline - now, reply_capacity=min(request.reply_capacity, offer.spare)
+                    )
                     self._carry_out(self.brain.on_request(renewed, now), now)
         if ledger.waiting and not self._ledger_timer_set:
             self._ledger_timer_set = True
@@ -359,7 +361,7 @@
                 self._answer(action.id, model.Failed("no upstream host served it"))
             elif isinstance(action, Cancel):
                 self._cancel(action)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendNotes):
                 if self.send_notes is not None:
                     for data in self.notebook.write(action.notes):
                         self.send_notes(data, action.to)
@@ -396,7 +398,7 @@
         started_at = trio.current_time()
         # Past its deadline, or its host was dropped: nothing is sent, and the outcome says nothing about the host.
         unsendable = request.deadline <= started_at or request.host.address is None
-        outcome = model.UpstreamOutcome(Status.MOOT) if unsendable else None
+        outcome = model.UpstreamOutcome(Status.NOT_SENT) if unsendable else None
         with request.scope:
             request.scope.deadline = request.deadline
             try:
--- a/thistleshore/platform/upstream.py
+++ b/thistleshore/platform/upstream.py
@@ -117,12 +117,12 @@
         """One upstream request, sent once; PROTOCOL's table of what comes back."""
         host, life = request.host, request.host.generation
         if not request.stream.wanted:
-            return UpstreamOutcome(Status.MOOT)
+            return UpstreamOutcome(Status.NOT_SENT)
         try:
             peer = self._take(host) or await self._connect(host)
         except NoSocket as problem:
             log.warning("no socket for an upstream request: %s", problem)
-            return UpstreamOutcome(Status.MOOT)
+            return UpstreamOutcome(Status.NOT_SENT)
         except (OSError, trio.TooSlowError):
             return UpstreamOutcome(Status.CONNECT_FAILED)
         done, rest = False, 0.0
@@ -130,7 +130,7 @@
             # Connecting took time, and the list may have changed: a host that drains gets nothing new.  Nor does any
             # for a downstream that has gone: no wait stands between this look and the first byte.
             if not host.ready or host.generation != life or not request.stream.wanted:
-                return UpstreamOutcome(Status.MOOT)
+                return UpstreamOutcome(Status.NOT_SENT)
             try:
                 await peer.send(*_request(request))
             except (trio.BrokenResourceError, trio.ClosedResourceError):
--- a/thistleshore/platform/watching.py
+++ b/thistleshore/platform/watching.py
@@ -50,7 +50,7 @@
 
 def pace_of(settings: Settings) -> Pace:
     limit, fleet = settings.drain_within, settings.balancers
-    if not settings.must_ask:
+    if not settings.list_on_request:
         # The agent on this machine has been sent all, and what it has counts as told at once: asking it costs it
         # nothing, however many dispatchers there are.  The floors are what a dispatcher's own share of a core allows.
         reach = _between(0.08, limit / 6, 0.5)
--- a/thistleshore/wiring/http.py
+++ b/thistleshore/wiring/http.py
@@ -39,7 +39,7 @@
     components.fronts.append(BoundFront(downstream, plan.http.listen))
     if plan.http.discovery is not None:
         components.discovery = _start_discovery(components, plan.http.discovery)
-    asked = components.discovery if not plan.settings.must_ask else None
+    asked = components.discovery if not plan.settings.list_on_request else None
     nursery.start_soon(wait_for_hosts, broker, asked, listed)
 
 
