--- a/benchmarks/contracts/surge.py
+++ b/benchmarks/contracts/surge.py
@@ -276,7 +276,7 @@
         now = self.world.now
         if self.exchange.on_datagram(data, now):
             for name, worker in self.brain.workers.items():
-                report = self.exchange.report(name, worker.size, worker.out, now)
+                report = self.exchange.report(name, worker.slots, worker.outstanding, now)
                 if report is not None:
                     self.carry_out(self.brain.on_report(name, report, now))
 
@@ -508,7 +508,9 @@
         assert node.exchange is not None and node.ledger is not None
         node.exchange.on_demand(node.ledger.demands(self.now))
         if self.plan.front == "http":  # elsewhere a host's slots are one dispatcher's
-            node.exchange.on_attempts_in_flight({name: worker.out for name, worker in node.brain.workers.items()})
+            node.exchange.on_attempts_in_flight(
+                {name: worker.outstanding for name, worker in node.brain.workers.items()}
+            )
         for peer, data in node.exchange.due(self.now):
             cut = self.plan.cut[0] <= self.now < self.plan.cut[1]
             if not cut and self.random.random() >= self.plan.loss:
--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -9,15 +9,15 @@
 from math import exp, inf, log, sqrt
 from random import Random
 
-from oxbowarch.hedging import overdue
+from oxbowarch.hedging import COPY_FADE, COPY_ROOM, overdue
 from oxbowarch.interface import NEVER_RAN, Action, Cancel, Effect, Entry, Fail, Group, ListKind
 from oxbowarch.interface import Log, Note, Outcome, Places, RefusalReason, Refuse, Report, Request, Send
 from oxbowarch.interface import Settings, State, Status, SendNotes, Timer, Watch, WorkerId
-from oxbowarch.pace import SLOW_FADE, slowness
-from oxbowarch.records import Attempt, Decayed, Homes, Job, Jobs, KeyRing, MeanTable, RateTable, Smoothed
-from oxbowarch.records import Window, Worker
+from oxbowarch.pace import SLOW_FADE, SLOW_STEEP, slowness
+from oxbowarch.records import Attempt, DecayedCount, Homes, Job, Jobs, KeyRing, MovingAverage, MovingAverages
+from oxbowarch.records import RateTable, Window, Worker
 from oxbowarch.refusal import reason_of
-from oxbowarch.shunning import STRIKES_MOST, after_failure, after_rejections
+from oxbowarch.shunning import MAX_FAILURES, after_failure, after_rejections
 from oxbowarch.slow_start import capacity, sender_rate, warmth
 
 HALF_LIFE = 10.0  # s; the source's own value: long enough to remember, short enough to forgive
@@ -34,15 +34,12 @@
 NO_ROOM_PART, FULL_PART = 0.5, 5.0  # part of that for which no room counts, and more for each attempt full
 DRAWS = 12  # tries of the rejection draw before the best one seen is taken
 KEY_PATIENCE, KEY_QUEUE, KEY_PLACES = 0.5, 0.25, 8  # of the aim, of slots, to wait for a home; servers noted
-FAILURES = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
+FAILURE_STATUSES = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 WATCH_BACKOFF = 0.5  # s, first wait after a failed call; doubled up to max_list_retry
 ZONE_SLACK, LOAD_MOST = 0.1, 3.0  # load, in slots' worth, by which the own zone may exceed others; cap of it
 HOLD_STEP, HOLD_MORE = 0.05, 0.7  # s between two looks for a held job; part of a usual run's grace it waits
 COPY_STEP = 0.2  # s between two looks for a job that calls for a second copy
 COPY_SHARE, COPY_MOST, COPY_WON = 0.02, 6.0, 2.0  # copies earned by a job, at most, and by a faster one
-COPY_FADE = 1 / 10.0  # 1/s; of the share of copies that were faster
-COPY_ROOM = 0.75  # share of slots busy from which a copy would take the place of another job
-SLOW_STEEP = 3.0  # power of a worker's slowness by which its weight falls
 ANYWHERE: Places = (None, None)  # the places of a class that is bound to none
 NOTE_AGE, NOTE_AGAIN, NOTE_EVERY = 3.0, 1.0, 1.0  # s one counts, is repeated after, is told all after
 DEAF, FEW, WAITING = (1.5, 12.0), 7, 0.5  # s with no note: cut, all gone; few; own waiting for each running
@@ -55,70 +52,71 @@
     """One dispatcher's decisions; see interface.py for the contract."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        self.born, self.random = now, Random(seed)
-        self.telling = settings.shares_notes and settings.balancers > 1
+        self.started_at, self.random = now, Random(seed)
+        self.shares_notes = settings.shares_notes and settings.balancers > 1
         # Share of slots in use: at the workers open to each class, in the own zone, and in the others.
-        self.busy: dict[Places, Smoothed] = {}
-        self.near, self.away = Smoothed(now, PRESSURE_FADE), Smoothed(now, PRESSURE_FADE)
+        self.busy_share: dict[Places, MovingAverage] = {}
+        self.near, self.away = MovingAverage(now, PRESSURE_FADE), MovingAverage(now, PRESSURE_FADE)
         self.workers: dict[WorkerId, Worker] = {}
         self.banned: set[WorkerId] = set()  # taken out by hand, listed or not
-        self.jobs, self.held = Jobs(), OrderedDict[int, Job]()
+        self.jobs, self.queued = Jobs(), OrderedDict[int, Job]()
         self.rates, self.keys = RateTable(NAMES_KEPT), RateTable(NAMES_KEPT)  # N and T of tenants and of keys
-        self.offered, self.admitted = Decayed(now), Decayed(now)  # N and T of all jobs; of admitted ones
-        self.taken, self.further, self.mine = Window(), Window(), Smoothed(now, DECAY)  # mine out
-        self.late, self.full, self.failing = (Smoothed(now, PRESSURE_FADE) for _ in range(3))  # shares
-        self.usual = MeanTable(now, PRESSURE_FADE)  # free slots that a kind of machine reports
-        self.runs = MeanTable(now, DECAY)  # logged run time of a class, where workers tell starts
-        self.most, self.counted_at = 1.0 + self.telling, now  # most free slots seen on a worker; last count
-        self.pressed, self.watching, self.watch_wait, self.do = False, False, WATCH_BACKOFF, list[Action]()
-        self.heard_at = inf if self.telling and settings.balancers <= FEW else -inf  # the last note
-        self.news: dict[WorkerId, Note] = {}  # what the others are to be told next
+        self.offered, self.admitted = DecayedCount(now), DecayedCount(now)  # jobs: all; admitted
+        self.requests, self.retries, self.own_outstanding = Window(), Window(), MovingAverage(now, DECAY)
+        self.late, self.full, self.failing = (MovingAverage(now, PRESSURE_FADE) for _ in range(3))  # shares
+        self.usual_free = MovingAverages(now, PRESSURE_FADE)  # free slots that a kind of machine reports
+        self.run_times = MovingAverages(now, DECAY)  # logged run time of a class, where workers tell starts
+        self.max_free, self.counted_at = 1.0 + self.shares_notes, now
+        self.under_pressure, self.watching, self.watch_delay = False, False, WATCH_BACKOFF
+        self.actions: list[Action] = []
+        self.last_note_at = inf if self.shares_notes and settings.balancers <= FEW else -inf
+        self.pending_notes: dict[WorkerId, Note] = {}  # what the others are to be told next
         self.refusals: Counter[RefusalReason] = Counter()  # requests refused or failed, by reason
-        self.copy_credit, self.won = COPY_MOST, Smoothed(now, COPY_FADE)  # and the share that were faster
+        self.hedge_tokens, self.won = COPY_MOST, MovingAverage(now, COPY_FADE)  # share that won
         self.on_settings(settings, now)
 
     def on_settings(self, settings: Settings, now: float) -> list[Action]:
         """These hold for what comes from now on: jobs keep their rule, classes and tenants their numbers."""
-        self.set = settings
-        self.margin = 3 * settings.tick  # s before a deadline at which an answer still leaves in time
-        self.cold_more = COLD_MORE * (settings.cold_factor if self.telling else 1.0)  # times least warmth
+        self.settings = settings
+        self.reply_margin = 3 * settings.tick  # s before a deadline at which an answer still leaves in time
+        self.cold_factor = COLD_MORE * (settings.cold_factor if self.shares_notes else 1.0)
         # Where it is no proof, 'full' may come for work begun: sent again, an unsafe job could run twice.
-        self.proof = NEVER_RAN if settings.full_never_ran else NEVER_RAN - {Status.FULL}
-        self.busy = {rule.places: Smoothed(now, PRESSURE_FADE) for rule in settings.classes} | self.busy
-        self.bound = [places for places in {rule.places for rule in settings.classes} if places != ANYWHERE]
+        self.never_ran = NEVER_RAN if settings.full_never_ran else NEVER_RAN - {Status.FULL}
+        averages = {rule.places: MovingAverage(now, PRESSURE_FADE) for rule in settings.classes}
+        self.busy_share = averages | self.busy_share
+        self.bound_places = [bound for bound in averages if bound != ANYWHERE]
         # A window's edge is drawn against us by a tick each way: a ration must not be overdrawn by rounding.
         span = settings.budget.span if settings.budget else 0.0
-        self.taken.span, self.further.span = span - settings.tick, span + settings.tick
-        return self._repool()
+        self.requests.span, self.retries.span = span - settings.tick, span + settings.tick
+        return self._rebuild_pools()
 
-    # -- the list of workers ------------------------------------------------------------------
-
-    def _repool(self) -> list[Action]:
+    def _rebuild_pools(self) -> list[Action]:
         self.pools: dict[tuple[Places, int], list[Worker]] = {}
         self.rings: dict[Places, KeyRing] = {}
-        self.homes = Homes(self._pool(ANYWHERE, -1) if self.telling else [], self.set.balancers, HOME_OF)
+        workers = self._pool(ANYWHERE, -1) if self.shares_notes else []
+        self.homes = Homes(workers, self.settings.balancers, HOME_OF)
         return []
 
     def on_ban(self, name: WorkerId, out: bool, now: float) -> list[Action]:
         """An operator takes a worker out, whatever the list says of it, or calls it back as a new process."""
         worker = self.workers.get(name)
         if not out and name in self.banned and worker is not None:
-            worker.forget(self.random.random(), now, worker.out)
-            worker.back_at = now  # restarted meanwhile, and the list may tell that late
+            worker.reset(self.random.random(), now, worker.outstanding)
+            worker.restored_at = now  # restarted meanwhile, and the list may tell that late
         (self.banned.add if out else self.banned.discard)(name)
-        return self._repool()
+        return self._rebuild_pools()
 
     def _ready(self, worker: Worker) -> bool:
         # Drains: a worker that is draining, gone or banned gets nothing from the moment that is known.
         return worker.entry.state is State.READY and worker.id not in self.banned
 
     def on_list(self, kind: ListKind, entries: tuple[Entry, ...], now: float) -> list[Action]:
-        self.do = []
+        self.actions = []
         if kind is ListKind.FAILED:
             # A fleet of dispatchers asking again at once would keep the list service down.
-            self.do.append(Timer(now + self.watch_wait * (0.5 + self.random.random()), LIST))
-            self.watching, self.watch_wait = False, min(2 * self.watch_wait, self.set.max_list_retry)
-            return self.do
+            self.actions.append(Timer(now + self.watch_delay * (0.5 + self.random.random()), LIST))
+            self.watching, self.watch_delay = False, min(2 * self.watch_delay, self.settings.max_list_retry)
+            return self.actions
         if moved := kind is not ListKind.CHANGES:
             for known in self.workers.values():
                 known.entry = known.entry._replace(state=State.GONE)
@@ -127,464 +125,463 @@
             moved = moved or worker is None or worker.entry[1:5] != entry[1:5]
             if worker is None:
                 worker = self.workers[entry.worker] = Worker(entry, self.random.random(), now)
-            elif entry.started_at > max(worker.started_at, worker.back_at):
+            elif entry.started_at > max(worker.started_at, worker.restored_at):
                 worker.entry, worker.started_at = entry, entry.started_at
-                out = (attempt for job in self.jobs.values() for attempt in job.attempts if attempt.out)
+                out = (a for job in self.jobs.values() for a in job.attempts if a.outstanding)
                 worker.restart(self.random.random(), (a for a in out if a.worker is worker), now)
             worker.entry = entry
         if moved:
-            self._repool()
-        self.watching, self.watch_wait = kind is not ListKind.CACHED, WATCH_BACKOFF
-        if not self.watching and self.set.list_on_request:
-            self.do.append(Timer(now + self.set.max_list_retry / 2 * self.random.random(), LIST))
-        if not self.watching and self.telling:
-            self._tell_all(now)
-        return self.do
+            self._rebuild_pools()
+        self.watching, self.watch_delay = kind is not ListKind.CACHED, WATCH_BACKOFF
+        if not self.watching and self.settings.list_on_request:
+            self.actions.append(Timer(now + self.settings.max_list_retry / 2 * self.random.random(), LIST))
+        if not self.watching and self.shares_notes:
+            self._notify_all(now)
+        return self.actions
 
     def _pool(self, places: Places, zone: int) -> list[Worker]:
         """Ready workers open to a class's places, in a zone; -1 means any."""
         pool = self.pools.get((places, zone))
         if pool is None:
             near = (w for w in self.workers.values() if self._ready(w) and zone in (-1, w.entry.zone))
-            pool = self.pools[places, zone] = [w for w in near if self._open(places, w.entry)]
+            pool = self.pools[places, zone] = [w for w in near if self._allowed(places, w.entry)]
         return pool
 
-    def _shut(self, places: Places) -> bool:
+    def _all_banned(self, places: Places) -> bool:
         """Has an operator taken out all there is?"""
         return bool(self.banned) and not self._pool(places, -1)
 
-    # -- EARRRL: who is refused ---------------------------------------------------------------
-
-    def _claim(self, tenant: int, repeat: bool, now: float) -> tuple[float, bool]:
+    def _excess(self, tenant: int, repeat: bool, now: float) -> tuple[float, bool]:
         """The share of the tenant's jobs here beyond its limit, read before this one is counted, and whether
         it takes far more than its part of all jobs here, however many clients crowd at this balancer."""
-        if not 0 <= tenant < len(self.set.limits):
+        if not 0 <= tenant < len(limits := self.settings.limits):
             return 0.0, False
         # A client's repeat belongs to its first try: refusals that breed repeats must not breed refusals.
         count = self.rates.add(tenant, DECAY, now, 0.0 if repeat else 1.0)
         # A tenant spread thinly leaves N noisy: innocents would be refused by chance.
         count = max(0.0, count - NOISE_MARGIN * sqrt(count / 2))
         # The decayed count as a rate; right after a start it is still filling, and would read low.
-        estimate = count * DECAY / max(1e-3, 1.0 - exp(DECAY * (self.born - now)))
-        limit = self.set.limits[tenant] / self.set.balancers
-        flood = count * sum(self.set.limits) > DOMINANT * self.offered.count * self.set.limits[tenant]
+        estimate = count * DECAY / max(1e-3, 1.0 - exp(DECAY * (self.started_at - now)))
+        limit = limits[tenant] / self.settings.balancers
+        flood = count * sum(limits) > DOMINANT * self.offered.count * limits[tenant]
         return 1.0 - limit / estimate if estimate > limit else 0.0, flood
 
-    def _between(self, places: Places, low: float, high: float) -> float:
+    def _ramp(self, places: Places, low: float, high: float) -> float:
         """How far the smoothed busy share of the workers has come through the span, 0 to 1."""
-        return min(1.0, max(0.0, (self.busy[places].mean() - low) / (high - low)))
+        return min(1.0, max(0.0, (self.busy_share[places].mean() - low) / (high - low)))
 
-    def _refused(self, ask: Request, now: float) -> bool:
+    def _shed(self, request: Request, now: float) -> bool:
         """Refuse by chance what lies beyond the tenant's limit, as far as there is pressure."""
-        places = self.set.classes[ask.job_class].places
-        (excess, flood), pressure = self._claim(ask.tenant, ask.repeat, now), self._between(places, *PRESSURE)
+        places = self.settings.classes[request.job_class].places
+        excess, flood = self._excess(request.tenant, request.repeat, now)
+        pressure = self._ramp(places, *PRESSURE)
         if flood:
-            # Where workers queue, slots tell too late that one tenant's flood makes everyone late.  Lateness
-            # may have other causes, and clients crowd at some balancers: only a flood pays for it.
+            # Where workers queue, busy slots show a flood too late.  Lateness has other causes: only a flood pays.
             pressure = min(1.0, pressure + self.late.mean() / LATE_SHARE)
-        if self.pressed != (pressure > (0.0 if self.pressed else 0.5)):
-            self.pressed = not self.pressed
-            self.do.append(Log("pressure on: refusing beyond the limits" if self.pressed else "pressure off"))
-        # Where even what lies within the limits is too much, all tenants give way alike, the class that
-        # earns least by a slot first: a queue makes everyone late.
-        late, best = self._late(ask), max(map(self._yield, range(len(self.set.classes))))
-        part = 1.0 - self._yield(ask.job_class, late) / best if best else 0.0
+        if self.under_pressure != (pressure > (0.0 if self.under_pressure else 0.5)):
+            self.under_pressure = not self.under_pressure
+            self.actions.append(
+                Log("pressure on: refusing beyond the limits" if self.under_pressure else "pressure off"))
+        # Overload within the limits sheds all tenants alike, the class that earns least by a slot first.
+        late = self._is_late_repeat(request)
+        best = max(map(self._worth_rate, range(len(self.settings.classes))))
+        part = 1.0 - self._worth_rate(request.job_class, late) / best if best else 0.0
         early = part * (SHED_LATE if late else SHED_EARLY)
-        if ask.reply_capacity < (SPARE_LEFT if not early else 1.0):
+        if request.reply_capacity < (SPARE_LEFT if not early else 1.0):
             # Held, it would take the last means by which any client is answered.
-            return self._refuse(ask, RefusalReason.DRAINING)
-        overload = self._between(places, OVERLOAD[0] - early, OVERLOAD[1] - early)
+            return self._refuse(request, RefusalReason.DRAINING)
+        overload = self._ramp(places, OVERLOAD[0] - early, OVERLOAD[1] - early)
         passed = (1.0 - pressure * excess) * (1.0 - overload)
-        if ask.beyond is None and self.random.random() >= passed:
-            return self._refuse(ask, RefusalReason.BEYOND_LIMIT, excess)
+        if request.beyond is None and self.random.random() >= passed:
+            return self._refuse(request, RefusalReason.BEYOND_LIMIT, excess)
         return False
 
-    def _late(self, ask: Request) -> bool:
+    def _is_late_repeat(self, request: Request) -> bool:
         """Is it a repeat of what has waited past its aim?  It would take the room of what is in time."""
-        rule = self.set.classes[ask.job_class]
-        return self.telling and ask.repeat and rule.give_up - ask.budget > rule.aim
+        rule = self.settings.classes[request.job_class]
+        return self.shares_notes and request.repeat and rule.give_up - request.budget > rule.aim
 
-    def _yield(self, job_class: int, late: bool = False) -> float:
+    def _worth_rate(self, job_class: int, late: bool = False) -> float:
         """Worth earned by a second of a worker's slot, as far as workers tell when jobs start."""
-        rule = self.set.classes[job_class]
-        return rule.worth * (rule.late_share if late else 1.0) / exp(self.runs[job_class].mean())
+        rule = self.settings.classes[job_class]
+        return rule.worth * (rule.late_share if late else 1.0) / exp(self.run_times[job_class].mean())
 
-    def _refuse(self, ask: Request, reason: RefusalReason, excess: float = 0.0) -> bool:
+    def _refuse(self, request: Request, reason: RefusalReason, excess: float = 0.0) -> bool:
         """Tell the client when to come back: once overload can have faded, and its tenant's estimate."""
         self.refusals[reason] += 1
-        places = self.set.classes[ask.job_class].places
-        fades = log(max(1.0, self.busy[places].mean() / OVERLOAD[0])) / PRESSURE_FADE
-        wait = inf if self._shut(places) else max(HOLD_STEP, fades, -log(1.0 + 1e-9 - excess) / DECAY)
-        self.do.append(Refuse(ask.id, min(self.set.max_retry_after, wait)))
+        places = self.settings.classes[request.job_class].places
+        fades = log(max(1.0, self.busy_share[places].mean() / OVERLOAD[0])) / PRESSURE_FADE
+        wait = inf if self._all_banned(places) else max(HOLD_STEP, fades, -log(1.0 + 1e-9 - excess) / DECAY)
+        self.actions.append(Refuse(request.id, min(self.settings.max_retry_after, wait)))
         return True
 
-    def on_request(self, ask: Request, now: float) -> list[Action]:
-        self.do = []
-        if ask.id in self.jobs or not 0 <= ask.job_class < len(self.set.classes):
-            return self.do
+    def on_request(self, request: Request, now: float) -> list[Action]:
+        self.actions = []
+        if request.id in self.jobs or not 0 <= request.job_class < len(self.settings.classes):
+            return self.actions
         self.offered.add(1.0, DECAY, now)
-        self.taken.add(now)
-        if self.telling and now - self.counted_at >= max(COUNT_EVERY, COUNT_EACH * len(self.workers)):
-            self._count(now)
-        if self._refused(ask, now):
-            return self.do
+        self.requests.add(now)
+        if self.shares_notes and now - self.counted_at >= max(COUNT_EVERY, COUNT_EACH * len(self.workers)):
+            self._measure_load(now)
+        if self._shed(request, now):
+            return self.actions
         self.admitted.add(1.0, DECAY, now)
-        self.copy_credit = min(COPY_MOST, self.copy_credit + COPY_SHARE)
-        job = self.jobs[ask.id] = Job(ask, self.set, now)
-        self._seek(job, now)
-        return self.do
+        self.hedge_tokens = min(COPY_MOST, self.hedge_tokens + COPY_SHARE)
+        job = self.jobs[request.id] = Job(request, self.settings, now)
+        self._place_or_queue(job, now)
+        return self.actions
 
-    def _seek(self, job: Job, now: float) -> None:
+    def _place_or_queue(self, job: Job, now: float) -> None:
         if not self._place(job, now):
-            self._hold(job, now)
+            self._queue(job, now)
 
     def _place(self, job: Job, now: float) -> bool:
-        deaf, busy = DEAF[0] < now - self.heard_at < DEAF[1], self.busy[job.rule.places]
-        queue = not self.telling and self.set.balancers > FEW and self.jobs.queue(WAITING)
-        part = max(1.0, self.mine.mean() / max(0.05, busy.mean()))
-        if queue or deaf and len(self.jobs) - len(self.held) > part:
+        deaf, busy = DEAF[0] < now - self.last_note_at < DEAF[1], self.busy_share[job.policy.places]
+        queue = not self.shares_notes and self.settings.balancers > FEW and self.jobs.queue(WAITING)
+        part = max(1.0, self.own_outstanding.mean() / max(0.05, busy.mean()))
+        if queue or deaf and len(self.jobs) - len(self.queued) > part:
             return False  # what others have out is there unseen
-        worker = self._by_key(job, now) if job.ask.key else None
+        worker = self._draw_by_key(job, now) if job.request.key else None
         # A fetch anywhere else costs more than a short wait for room where the key's data is.
-        if worker is None and not (job.ask.key and now - job.since < KEY_PATIENCE * job.rule.aim):
+        if worker is None and not (job.request.key and now - job.since < KEY_PATIENCE * job.policy.aim):
             worker = self._draw(job, now)
         if worker is not None:
             self._send(job, worker, now)
         return worker is not None
 
     def _send(self, job: Job, worker: Worker, now: float) -> None:
-        self.held.pop(job.id, None)
+        self.queued.pop(job.id, None)
         if job.attempts:
-            self.further.add(now)
-            job.ask.retry_budget.pay(now)
-        job.attempts.append(Attempt(worker, job.ask.job_class, now, self.set.tells_start))
-        job.out += 1
-        worker.count_out(1, REPORT_FADE, now)
+            self.retries.add(now)
+            job.request.retry_budget.pay(now)
+        job.attempts.append(Attempt(worker, job.request.job_class, now, self.settings.tells_start))
+        job.outstanding += 1
+        worker.change_outstanding(1, REPORT_FADE, now)
         worker.slow_start.pay()
-        worker.sent.append(now)
-        self.do.append(Send(job.id, worker.id))
-        self._note(worker, now)
-        if self.set.hedging and self.set.tells_start and len(job.attempts) == 1:
-            self.do.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
+        worker.send_times.append(now)
+        self.actions.append(Send(job.id, worker.id))
+        self._notify(worker, now)
+        if self.settings.hedging and self.settings.tells_start and len(job.attempts) == 1:
+            self.actions.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
 
-    def _look(self, job: Job, now: float) -> None:
+    def _check_hedge(self, job: Job, now: float) -> None:
         """Send a second copy of a job whose answer may never come, lost or hung, while there is room."""
-        if job.ended or job.out > 1 or not self._may_try(job, now):
+        if job.ended or job.outstanding > 1 or not self._may_attempt(job, now):
             return
-        room = self.copy_credit >= 1.0 and self.busy[job.rule.places].mean() < COPY_ROOM
-        if job.out and room and self._overdue(job, now) and self._place(job, now):
-            self.copy_credit -= 1.0
+        room = self.hedge_tokens >= 1.0 and self.busy_share[job.policy.places].mean() < COPY_ROOM
+        if job.outstanding and room and self._overdue(job, now) and self._place(job, now):
+            self.hedge_tokens -= 1.0
         else:
-            self.do.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
+            self.actions.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
 
     def _overdue(self, job: Job, now: float) -> bool:
-        attempt = next(attempt for attempt in job.attempts if attempt.out)
-        return overdue(job, attempt, self.runs[job.ask.job_class].mean(), self.won.mean() > 0.5, now)
+        attempt = next(attempt for attempt in job.attempts if attempt.outstanding)
+        return overdue(job, attempt, self.run_times[job.request.job_class].mean(), self.won.mean() > 0.5, now)
 
-    def _hold(self, job: Job, now: float) -> None:
+    def _queue(self, job: Job, now: float) -> None:
         """Keep a job for which no worker has room: brief waiting beats both a queue and a refusal."""
-        usual = exp(self.runs[job.ask.job_class].mean())
-        grace = max(0.0, job.rule.stretch - 1.0) * usual * HOLD_MORE if self.telling else 0.0
-        until = job.since + job.rule.aim + grace
-        if job.ask.beyond is False:  # within its share it may wait as long as it can still be in time
-            until = max(until, job.ask.rank - usual)
-        shut = self._shut(job.rule.places) or not self._may_try(job, now)
-        if shut or now >= min(until, job.deadline - self.margin):
+        usual = exp(self.run_times[job.request.job_class].mean())
+        grace = max(0.0, job.policy.stretch - 1.0) * usual * HOLD_MORE if self.shares_notes else 0.0
+        until = job.since + job.policy.aim + grace
+        if job.request.beyond is False:  # within its share it may wait as long as it can still be in time
+            until = max(until, job.request.rank - usual)
+        shut = self._all_banned(job.policy.places) or not self._may_attempt(job, now)
+        if shut or now >= min(until, job.deadline - self.reply_margin):
             # Nothing more can go out, and the client must not wait for that; or it would make all late.
-            return self._answer(job)
-        self.do.append(Timer(now + HOLD_STEP, job.id * 4 + HOLD))
-        self.held[job.id] = job
-        if not job.timed:
+            return self._give_up(job)
+        self.actions.append(Timer(now + HOLD_STEP, job.id * 4 + HOLD))
+        self.queued[job.id] = job
+        if not job.has_timer:
             # No request is lost: a job that is not out has a timer of its own that answers it in time.
-            job.timed = True
-            self.do.append(Timer(job.deadline - self.margin, job.id * 4 + DEADLINE))
-
-    # -- what a request may still do: the only place that decides it -------------------------------
+            job.has_timer = True
+            self.actions.append(Timer(job.deadline - self.reply_margin, job.id * 4 + DEADLINE))
 
-    def _may_try(self, job: Job, now: float) -> bool:
+    def _may_attempt(self, job: Job, now: float) -> bool:
         """May one more attempt go out?  Never doubles an effect."""
-        over = now >= job.deadline - self.margin or len(job.attempts) >= job.most
-        unpaid = bool(job.attempts) and job.ask.retry_budget.left(now) < 1.0  # the client hears so at once
-        if over or unpaid or job.out and not self.set.hedging:
+        over = now >= job.deadline - self.reply_margin or len(job.attempts) >= job.max_attempts
+        unpaid = bool(job.attempts) and job.request.retry_budget.left(now) < 1.0
+        if over or unpaid or job.outstanding and not self.settings.hedging:
             return False
-        ran, rule = job.ran_first(), job.rule
+        ran, rule = job.ran_first(), job.policy
         if ran is None or rule.effect is Effect.SAFE:
             return True
-        return rule.effect is Effect.KEYED and now - ran.at <= rule.repeat_window - self.margin
+        return rule.effect is Effect.KEYED and now - ran.sent_at <= rule.repeat_window - self.reply_margin
 
-    def _open(self, places: Places, entry: Entry) -> bool:
+    def _allowed(self, places: Places, entry: Entry) -> bool:
         """Placement: a class bound to some kinds or zones goes nowhere else, even when those are down."""
         kinds, zones = places
         return (kinds is None or entry.kind in kinds) and (zones is None or entry.zone in zones)
 
-    def _budgeted(self, now: float) -> bool:
+    def _within_budget(self, now: float) -> bool:
         """May any job have one more attempt beyond its first?  Retries must not multiply an overload."""
-        free, share, _ = self.set.budget or (inf, 0.0, 0.0)
-        return self.further.count(now) + 1 <= free + share * self.taken.count(now)
+        free, share, _ = self.settings.budget or (inf, 0.0, 0.0)
+        return self.retries.count(now) + 1 <= free + share * self.requests.count(now)
 
     def _may_send(self, job: Job, worker: Worker, now: float) -> bool:
         """May it go to this worker?"""
-        if not self._open(job.rule.places, worker.entry) or not self._may_try(job, now):
+        if not self._allowed(job.policy.places, worker.entry) or not self._may_attempt(job, now):
             return False
         if not job.attempts:
             return True
         last, ran = job.attempts[-1], job.ran_first()
-        if last.worker is worker and now - last.at < FULL_AGE or not self._budgeted(now):
+        if last.worker is worker and now - last.sent_at < FULL_AGE or not self._within_budget(now):
             return False  # asking a worker that has just turned the job away would use up its attempts
-        if any(attempt.out and attempt.worker is worker for attempt in job.attempts):
+        if any(attempt.outstanding and attempt.worker is worker for attempt in job.attempts):
             return False
-        if ran is None or job.rule.effect is not Effect.KEYED or job.rule.group is Group.ALL:
+        if ran is None or job.policy.effect is not Effect.KEYED or job.policy.group is Group.ALL:
             return True
-        same_cell = job.rule.group is Group.ZONE or ran.entry.cell == worker.entry.cell
+        same_cell = job.policy.group is Group.ZONE or ran.entry.cell == worker.entry.cell
         return same_cell and ran.entry.zone == worker.entry.zone
 
-    def _answer(self, job: Job) -> None:
+    def _give_up(self, job: Job) -> None:
         """End the job with a refusal, which promises that a repeat is harmless, else as failed."""
-        dropped = job.rule.effect is Effect.KEYED and job.rule.group is Group.ALL
-        harmless = dropped or job.rule.effect is Effect.SAFE or job.ran_first() is None
-        reason = reason_of(job, self._shut(job.rule.places))
+        dropped = job.policy.effect is Effect.KEYED and job.policy.group is Group.ALL
+        harmless = dropped or job.policy.effect is Effect.SAFE or job.ran_first() is None
+        reason = reason_of(job, self._all_banned(job.policy.places))
         self.refusals[reason] += not harmless
-        self._refuse(job.ask, reason) if harmless else self.do.append(Fail(job.id))
-        self._end(job)
+        self._refuse(job.request, reason) if harmless else self.actions.append(Fail(job.id))
+        self._close(job)
 
-    def _end(self, job: Job) -> None:
+    def _close(self, job: Job) -> None:
         """Nothing more goes out for the job; what is still out is called off."""
         job.ended = True
-        self.held.pop(job.id, None)
-        if job.out == 0:
+        self.queued.pop(job.id, None)
+        if job.outstanding == 0:
             del self.jobs[job.id]
-        elif self.set.can_cancel:
-            self.do += [Cancel(job.id, n) for n, attempt in enumerate(job.attempts) if attempt.out]
-
-    # -- who gets the job ---------------------------------------------------------------------
+        elif self.settings.can_cancel:
+            self.actions += [Cancel(job.id, n) for n, a in enumerate(job.attempts) if a.outstanding]
 
     def _warmth(self, worker: Worker, now: float) -> float:
         """Present share of capacity, guessed low: a cold worker looks empty to everyone at once."""
-        return warmth(self.set, max(worker.started_at, worker.back_at), now)
+        return warmth(self.settings, max(worker.started_at, worker.restored_at), now)
 
     def _weight(self, job: Job, worker: Worker, now: float, queue: float = 0.0) -> float:
         """Reported free slots plus one, less own sends, strikes and shut doors; 0 is never drawn."""
         # An own attempt that waits to start tells at once of a queue or a hang, and reports tell it late.
         if now < worker.shunned_until or not self._ready(worker) or worker.waiting > queue:
             return 0.0
-        free = worker.room - worker.out if now < worker.report_until else None
-        home = self.homes.has(worker, self.set.me)
-        if self.telling:
-            free = self._size(worker, now) - worker.in_work(now)
+        free = worker.reported_free - worker.outstanding if now < worker.report_until else None
+        home = self.homes.has(worker, self.settings.me)
+        if self.shares_notes:
+            free = self._usable_slots(worker, now) - worker.total_outstanding(now)
             # What is left is for those at home there: others would all meet at it before they hear so.
-            free -= 0.0 if home else AWAY_LEFT * self.busy[job.rule.places].mean()
-        if free is not None and job.ask.beyond is not None:
-            free = min(free, worker.size - worker.out)  # what a late report may promise is not there
+            free -= 0.0 if home else AWAY_LEFT * self.busy_share[job.policy.places].mean()
+        if free is not None and job.request.beyond is not None:
+            free = min(free, worker.slots - worker.outstanding)  # what a late report may promise is not there
         if free is not None and free < 0.5 - queue:
-            if job.ask.beyond is not None or now < worker.no_room_until or self.telling:
+            if job.request.beyond is not None or now < worker.no_room_until or self.shares_notes:
                 return 0.0  # by contract it had better wait here, where who goes next can still be chosen
-        if (share := self._warmth(worker, now)) < 1.0 and self.telling and not home:
+        if (share := self._warmth(worker, now)) < 1.0 and self.shares_notes and not home:
             return 0.0  # all would meet there, at its start and whenever it is warm enough for more
         if share < 1.0 and worker.slow_start.earn(self._slow_start_rate(worker, share, now), now) < 1.0:
             return 0.0
         # A worker may turn one class or tenant away though it has room: that is no news of the worker.
-        shut = worker.strikes + sum(worker.turned.read(door, DECAY, now) for door in job.doors)
-        shut += SLOW_STEEP / log(2) * slowness(worker, self.runs, now)
+        shut = worker.failures + sum(worker.rejected.read(door, DECAY, now) for door in job.rejection_keys)
+        shut += SLOW_STEEP / log(2) * slowness(worker, self.run_times, now)
         # Without news of room it counts as its kind does; a thin dispatcher must not double up there.
-        free = self.usual[worker.entry.kind].mean() if free is None else max(0.0, free)
+        free = self.usual_free[worker.entry.kind].mean() if free is None else max(0.0, free)
         # Reports are late, own attempts out are known: two must not meet by a stale report.
-        return float((1.0 + free) / (1.0 + worker.out) * 0.5**shut)
+        return float((1.0 + free) / (1.0 + worker.outstanding) * 0.5**shut)
 
     def _slow_start_rate(self, worker: Worker, share: float, now: float) -> float:
         """Calls a second that a worker with this share of its capacity may get from here."""
-        asked = self.admitted.count * DECAY / max(1, len(self._pool(ANYWHERE, -1))) * self.set.balancers
+        asked = self.admitted.count * DECAY / max(1, len(self._pool(ANYWHERE, -1))) * self.settings.balancers
         # Under overload more is admitted than is served: a warm one gets no more than its slots can run.
-        warm_rate = min(asked, capacity(worker.size or self.most, self.runs.values()))
-        senders = 1 + len(self.homes.others(worker, self.set.me)) if self.telling else None
-        return sender_rate(self.set, warm_rate, share, senders, now - self.heard_at < DEAF[0] / 3)
+        warm_rate = min(asked, capacity(worker.slots or self.max_free, self.run_times.values()))
+        senders = 1 + len(self.homes.others(worker, self.settings.me)) if self.shares_notes else None
+        return sender_rate(self.settings, warm_rate, share, senders, now - self.last_note_at < DEAF[0] / 3)
 
     def _draw(self, job: Job, now: float) -> Worker | None:
         """Rejection draw by weight among ready workers: own zone first, then all."""
-        for worker in self.homes.of(self.set.me):
+        for worker in self.homes.of(self.settings.me):
             if self.random.random() < self._weight(job, worker, now) and self._may_send(job, worker, now):
                 return worker
         # Crossings are priced, but where clients crowd into one zone, keeping to it would queue their jobs.
         crowded = self.near.mean() > self.away.mean() + ZONE_SLACK
-        for zone in (-1,) if crowded else (self.set.zone, -1):
-            pool = self._pool(job.rule.places, zone)
+        for zone in (-1,) if crowded else (self.settings.zone, -1):
+            pool = self._pool(job.policy.places, zone)
             best, most = None, 0.0
-            for _ in range(DRAWS if pool and (not job.attempts or self._budgeted(now)) else 0):
+            for _ in range(DRAWS if pool and (not job.attempts or self._within_budget(now)) else 0):
                 worker = pool[int(self.random.random() * len(pool))]
                 weight = self._weight(job, worker, now)
                 if weight > 0.0 and self._may_send(job, worker, now):
-                    if self.random.random() * (1.0 + self.most) < weight:
+                    if self.random.random() * (1.0 + self.max_free) < weight:
                         return worker
                     best, most = (worker, weight) if weight > most else (best, most)
             if best is not None:
                 return best
         return None
 
-    def _ring(self, places: Places) -> KeyRing:
+    def _key_ring(self, places: Places) -> KeyRing:
         """Where keys of a class have homes: off the workers whose data a bound class alone needs."""
         ring = self.rings.get(places)
         if ring is None:
-            pool, bound = self._pool(places, -1), self.bound if places == ANYWHERE else []
-            free = [w for w in pool if not any(self._open(other, w.entry) for other in bound)]
+            pool, bound = self._pool(places, -1), self.bound_places if places == ANYWHERE else []
+            free = [w for w in pool if not any(self._allowed(other, w.entry) for other in bound)]
             ring = self.rings[places] = KeyRing(free or pool)
         return ring
 
-    def _by_key(self, job: Job, now: float) -> Worker | None:
+    def _draw_by_key(self, job: Job, now: float) -> Worker | None:
         """Draw among the key's homes, the workers next on its ring, where its data was fetched already."""
-        ring, key = self._ring(job.rule.places), (job.ask.key, job.rule.places)
+        ring, key = self._key_ring(job.policy.places), (job.request.key, job.policy.places)
         if not ring.size:
             return None  # an empty ring has no place for the key
-        count = self.keys.add(key, DECAY, now, not (job.timed or job.attempts))
+        count = self.keys.add(key, DECAY, now, not (job.has_timer or job.attempts))
         # A hot key would overrun a single home: it gets as many as its part of the traffic is worth.
         homes = 1 + int(2 * count / max(1.0, self.admitted.count) * ring.size)
-        tries = [ring.owner(job.ask.key, int(self.random.random() * homes)) for _ in range(homes)]
+        tries = [ring.owner(job.request.key, int(self.random.random() * homes)) for _ in range(homes)]
         tries += self.keys[key].served_by  # a fetch is spared there too
         for n, worker in enumerate(tries):
-            wanted = self.random.random() * (1.0 + self.most) if n < homes > 1 else 0.0
-            weight = self._weight(job, worker, now, KEY_QUEUE * worker.size)
+            wanted = self.random.random() * (1.0 + self.max_free) if n < homes > 1 else 0.0
+            weight = self._weight(job, worker, now, KEY_QUEUE * worker.slots)
             if weight > wanted and self._may_send(job, worker, now):
                 return worker
         return None
 
-    def _note(self, worker: Worker, now: float, pace: float | None = None, failed: bool = False) -> None:
+    def _notify(self, at: Worker, now: float, slowdown: float | None = None, failed: bool = False) -> None:
         """Tell those at home there at once: of little traffic each, all alone would learn too late."""
-        if self.telling:
-            note = self.news[worker.id] = Note(worker.id, worker.out, pace, failed)
-            self.do.append(SendNotes((note,), self.homes.others(worker, self.set.me)))
+        if self.shares_notes:
+            note = self.pending_notes[at.id] = Note(at.id, at.outstanding, slowdown, failed)
+            self.actions.append(SendNotes((note,), self.homes.others(at, self.settings.me)))
 
-    def _tell_all(self, now: float) -> None:
+    def _notify_all(self, now: float) -> None:
         """All hear all, later; what is out for long is told again, as notes grow old and may be lost."""
-        old = (w for w in self.workers.values() if w.out and now - w.told_at > NOTE_AGAIN)
-        self.news = {w.id: Note(w.id, w.out) for w in old} | self.news
-        for told in self.news:
-            self.workers[told].told_at = now
-        self.do.append(SendNotes(tuple(self.news.values())))
-        self.do.append(Timer(now + NOTE_EVERY * (0.5 + self.random.random()), NOTES))
-        self.news = {}
+        old = (w for w in self.workers.values() if w.outstanding and now - w.published_at > NOTE_AGAIN)
+        self.pending_notes = {w.id: Note(w.id, w.outstanding) for w in old} | self.pending_notes
+        for told in self.pending_notes:
+            self.workers[told].published_at = now
+        self.actions.append(SendNotes(tuple(self.pending_notes.values())))
+        self.actions.append(Timer(now + NOTE_EVERY * (0.5 + self.random.random()), NOTES))
+        self.pending_notes = {}
 
     def on_notes(self, peer: int, notes: tuple[Note, ...], now: float) -> list[Action]:
         """Another dispatcher tells what it has out, and how what it had out ended."""
-        self.do, self.heard_at = [], now if self.set.balancers > FEW else self.heard_at
+        self.actions, self.last_note_at = [], now if self.settings.balancers > FEW else self.last_note_at
         for note in notes:
             if (worker := self.workers.get(note.worker)) is not None:  # else its list is newer or older
-                worker.hear(peer, note.out, now, now + NOTE_AGE)
+                worker.record_peer(peer, note.outstanding, now, now + NOTE_AGE)
                 if note.failed:
-                    self._strike(worker, now)
-                if note.pace is not None:
-                    worker.strikes = 0
-                    worker.see_pace(note.pace, SLOW_FADE, now)
-        return self.do
+                    self._record_failure(worker, now)
+                if note.slowdown is not None:
+                    worker.failures = 0
+                    worker.record_slowdown(note.slowdown, SLOW_FADE, now)
+        return self.actions
 
-    def _count(self, now: float) -> None:
+    def _measure_load(self, now: float) -> None:
         """The share of slots busy, by what all dispatchers have in work."""
         self.counted_at = now
-        if DEAF[0] < now - self.heard_at < DEAF[1]:
+        if DEAF[0] < now - self.last_note_at < DEAF[1]:
             return  # own attempts alone would look like a fleet at rest
-        self.mine.see(len(self.jobs) - len(self.held), now)
-        for places, busy in self.busy.items():
+        self.own_outstanding.observe(len(self.jobs) - len(self.queued), now)
+        for places, busy in self.busy_share.items():
             pool = self._pool(places, -1)
-            size = max(1.0, sum(self._size(worker, now) for worker in pool))
-            busy.see(min(1.0, sum(worker.in_work(now) for worker in pool) / size), now)
+            size = max(1.0, sum(self._usable_slots(worker, now) for worker in pool))
+            busy.observe(min(1.0, sum(worker.total_outstanding(now) for worker in pool) / size), now)
 
-    def _size(self, worker: Worker, now: float) -> float:  # a cold one has fewer slots than it says
-        return max(1.0, (worker.size or self.most) * min(1.0, self.cold_more * self._warmth(worker, now)))
+    def _usable_slots(self, worker: Worker, now: float) -> float:  # a cold one has fewer slots than it says
+        share = min(1.0, self.cold_factor * self._warmth(worker, now))
+        return max(1.0, (worker.slots or self.max_free) * share)
 
-    def _heard(self, worker: Worker, report: Report | None, now: float) -> None:
+    def _record_report(self, worker: Worker, report: Report | None, now: float) -> None:
         if report is None or report.free is None:
             return
         # A late report shows own attempts as they were a moment ago: the emptiest would be crowded.
         in_flight = report.in_flight or 0.0
-        queued = report.queue if report.queue is not None else max(0.0, in_flight - worker.size)
-        worker.room = report.free - queued + worker.count_out(0, REPORT_FADE, now)
+        queued = report.queue if report.queue is not None else max(0.0, in_flight - worker.slots)
+        worker.reported_free = report.free - queued + worker.change_outstanding(0, REPORT_FADE, now)
         worker.report_until = now + REPORT_AGE
         # Shut out for long it crowds the rest, unless 'full' is common; told starts say sooner what waits.
-        part = FULL_PART * self.full.mean() + (0.0 if self.set.tells_start else NO_ROOM_PART)
+        part = FULL_PART * self.full.mean() + (0.0 if self.settings.tells_start else NO_ROOM_PART)
         worker.no_room_until = now + REPORT_AGE * min(1.0, part)
         running = in_flight - queued if report.free >= 1.0 else 0.0
-        worker.size = max(worker.size, report.free + running, 1.0)
-        self.most = max(self.most, min(report.free, 1000.0))
-        self.usual[worker.entry.kind].see(report.free, now)
-        for places, busy in self.busy.items():
-            if not self.telling and self._open(places, worker.entry):
-                busy.see(1.0 - min(1.0, report.free / worker.size), now)
-        load = min(LOAD_MOST, 1.0 + (queued - report.free) / worker.size)
-        (self.near if worker.entry.zone == self.set.zone else self.away).see(load, now)
+        worker.slots = max(worker.slots, report.free + running, 1.0)
+        self.max_free = max(self.max_free, min(report.free, 1000.0))
+        self.usual_free[worker.entry.kind].observe(report.free, now)
+        for places, busy in self.busy_share.items():
+            if not self.shares_notes and self._allowed(places, worker.entry):
+                busy.observe(1.0 - min(1.0, report.free / worker.slots), now)
+        load = min(LOAD_MOST, 1.0 + (queued - report.free) / worker.slots)
+        (self.near if worker.entry.zone == self.settings.zone else self.away).observe(load, now)
 
     def on_report(self, at: WorkerId, report: Report, now: float) -> list[Action]:
         """A worker tells of its load unasked: room for a held job, but no proof that it serves any."""
-        self.do = []
+        self.actions = []
         if at in self.workers:
-            self.workers[at].lag_out = self.workers[at].out  # told as it is, not a moment late
-            self._heard(self.workers[at], report, now)
-            self._use_room(now)
-        return self.do
+            self.workers[at].lagged_outstanding = self.workers[at].outstanding  # current, not lagged
+            self._record_report(self.workers[at], report, now)
+            self._place_queued(now)
+        return self.actions
 
-    def _use_room(self, now: float) -> None:
+    def _place_queued(self, now: float) -> None:
         """Room may have come up: first by contract, then by what a class earns, then by how long it waits."""
-        if self.held:
-            self._place(max(self.held.values(), key=lambda held: (not held.ask.beyond, -held.ask.rank,
-                                          self._yield(held.ask.job_class, self._late(held.ask)))), now)
+        if self.queued:
+            self._place(max(self.queued.values(), key=self._priority), now)
+
+    def _priority(self, job: Job) -> tuple[bool, float, float]:
+        worth = self._worth_rate(job.request.job_class, self._is_late_repeat(job.request))
+        return not job.request.beyond, -job.request.rank, worth
 
-    def _strike(self, worker: Worker, now: float) -> None:
+    def _record_failure(self, worker: Worker, now: float) -> None:
         """A fast failer must not attract work; a silent one must lose weight and be retried gently."""
-        worker.strikes = min(STRIKES_MOST, worker.strikes + 1)
-        worker.shunned_until = now + after_failure(worker.strikes, self.failing.mean(), self.random.random())
+        worker.failures = min(MAX_FAILURES, worker.failures + 1)
+        worker.shunned_until = now + after_failure(worker.failures, self.failing.mean(), self.random.random())
 
     def on_outcome(self, event: Outcome, now: float) -> list[Action]:
-        self.do = []
+        self.actions = []
         job = self.jobs.get(event.id)
-        if job is None or not (event.attempt < len(job.attempts) and job.attempts[event.attempt].out):
-            return self.do
+        if job is None or not (event.attempt < len(job.attempts) and job.attempts[event.attempt].outstanding):
+            return self.actions
         attempt = job.attempts[event.attempt]
-        attempt.end(event.status not in self.proof)
-        if event.status is Status.NOT_SENT and event.attempt and attempt.at in self.further.times:
-            self.further.times.remove(attempt.at)  # it was never sent
-            job.ask.retry_budget.give_back(now)
-        job.out -= 1
-        self._judge(job, attempt, event, now)
+        attempt.end(event.status not in self.never_ran)
+        if event.status is Status.NOT_SENT and event.attempt and attempt.sent_at in self.retries.times:
+            self.retries.times.remove(attempt.sent_at)  # it was never sent
+            job.request.retry_budget.give_back(now)
+        job.outstanding -= 1
+        self._record_outcome(job, attempt, event, now)
         if event.closed or job.ended:
-            self._end(job)
-        elif job.out == 0:
-            self._seek(job, now) if self._may_try(job, now) else self._answer(job)
-        self._use_room(now)
-        return self.do
+            self._close(job)
+        elif job.outstanding == 0:
+            self._place_or_queue(job, now) if self._may_attempt(job, now) else self._give_up(job)
+        self._place_queued(now)
+        return self.actions
 
-    def _judge(self, job: Job, attempt: Attempt, event: Outcome, now: float) -> None:
+    def _record_outcome(self, job: Job, attempt: Attempt, event: Outcome, now: float) -> None:
         """What an attempt's end tells of the worker."""
-        worker, full, pace = attempt.worker, event.status is Status.FULL, None
-        worker.count_out(-attempt.counts, REPORT_FADE, now)
-        self.full.see(float(full), now)
+        worker, full, slowdown = attempt.worker, event.status is Status.FULL, None
+        worker.change_outstanding(-attempt.counts, REPORT_FADE, now)
+        self.full.observe(float(full), now)
         if event.status is not Status.CANCELLED:
-            self.failing.see(float(event.status in FAILURES), now)
+            self.failing.observe(float(event.status in FAILURE_STATUSES), now)
         report = event.report or (Report(0.0) if full else None)
         if event.status is Status.OK or report and event.status is not Status.ERROR:
-            worker.strikes, worker.shunned_until = 0, min(worker.shunned_until, now)  # a sign of life
-            self._heard(worker, report, now)
-        if event.status is Status.OK and job.out:
-            faster = attempt is not next(a for a in job.attempts if a.out or a is attempt)
-            self.won.see(float(faster), now)
-            self.copy_credit = min(COPY_MOST, self.copy_credit + COPY_WON * faster)
+            worker.failures, worker.shunned_until = 0, min(worker.shunned_until, now)  # a sign of life
+            self._record_report(worker, report, now)
+        if event.status is Status.OK and job.outstanding:
+            faster = attempt is not next(a for a in job.attempts if a.outstanding or a is attempt)
+            self.won.observe(float(faster), now)
+            self.hedge_tokens = min(COPY_MOST, self.hedge_tokens + COPY_WON * faster)
         if event.status is Status.OK:
             worker.rejections = 0
-            for door in job.doors:
-                worker.turned.halve(door)
+            for door in job.rejection_keys:
+                worker.rejected.halve(door)
             if attempt.started:
-                usual, run = self.runs[job.ask.job_class], log(max(1e-3, now - attempt.started))
-                pace = run - usual.mean()
-                worker.see_pace(pace, SLOW_FADE, now)
-                usual.see(run, now)
-                aim = job.rule.aim + job.rule.stretch * (now - attempt.started)
-                self.late.see(float(now - job.since > aim), now)
-            if (job.ask.key, job.rule.places) in self.keys:
-                self.keys[job.ask.key, job.rule.places].note(worker, KEY_PLACES)
+                usual, run = self.run_times[job.request.job_class], log(max(1e-3, now - attempt.started))
+                slowdown = run - usual.mean()
+                worker.record_slowdown(slowdown, SLOW_FADE, now)
+                usual.observe(run, now)
+                aim = job.policy.aim + job.policy.stretch * (now - attempt.started)
+                self.late.observe(float(now - job.since > aim), now)
+            if (job.request.key, job.policy.places) in self.keys:
+                self.keys[job.request.key, job.policy.places].note(worker, KEY_PLACES)
         if full:
-            for door in job.doors:
-                worker.turned.add(door, DECAY, now)
-            worker.room, worker.no_room_until = worker.out, now + FULL_AGE
+            for door in job.rejection_keys:
+                worker.rejected.add(door, DECAY, now)
+            worker.reported_free, worker.no_room_until = worker.outstanding, now + FULL_AGE
             worker.rejections += 1
             worker.shunned_until = now + after_rejections(worker.rejections)
-        elif event.status in FAILURES:
-            self._strike(worker, now)
-        self._note(worker, now, pace, event.status in FAILURES)
+        elif event.status in FAILURE_STATUSES:
+            self._record_failure(worker, now)
+        self._notify(worker, now, slowdown, event.status in FAILURE_STATUSES)
 
     def on_started(self, job_id: int, attempt: int, now: float) -> list[Action]:
         """The worker has begun to run an attempt: what came before was its queue."""
@@ -593,26 +590,26 @@
         return []
 
     def on_timer(self, token: int, now: float) -> list[Action]:
-        self.do = []
-        purpose, job = token & 3, self.held.get(token >> 2)
+        self.actions = []
+        purpose, job = token & 3, self.queued.get(token >> 2)
         if purpose == LIST and not self.watching:
-            self.do.append(Watch())
-        elif purpose == DEADLINE and job is not None and now >= job.deadline - self.margin:
-            self._answer(job)
+            self.actions.append(Watch())
+        elif purpose == DEADLINE and job is not None and now >= job.deadline - self.reply_margin:
+            self._give_up(job)
         elif purpose == DEADLINE and token >> 2 in self.jobs:
-            self._look(self.jobs[token >> 2], now)
+            self._check_hedge(self.jobs[token >> 2], now)
         elif job is not None and purpose == HOLD:
-            self._seek(job, now)
+            self._place_or_queue(job, now)
         elif purpose == NOTES:
-            self._tell_all(now)
-        return self.do
+            self._notify_all(now)
+        return self.actions
 
     def on_accepted(self, job_id: int, attempt: int, now: float) -> list[Action]:
         """A stream has begun: it belongs to the client, and nothing more may go out for it."""
         return [action for action in self.on_withdrawn(job_id, now) if action != Cancel(job_id, attempt)]
 
     def on_withdrawn(self, job_id: int, now: float) -> list[Action]:
-        self.do = []
+        self.actions = []
         if (job := self.jobs.get(job_id)) is not None and not job.ended:
-            self._end(job)
-        return self.do
+            self._close(job)
+        return self.actions
--- a/oxbowarch/interface.py
+++ b/oxbowarch/interface.py
@@ -273,8 +273,8 @@
     """What one dispatcher tells the others of a worker; it stands until the next one, or until it is old."""
 
     worker: WorkerId
-    out: int  # attempts that the teller has out there now
-    pace: float | None = None  # of one that has just ended there: its logged run time over the usual of its class
+    outstanding: int  # attempts that the teller has out there now
+    slowdown: float | None = None  # of one that has just ended there: its logged run time over the usual of its class
     failed: bool = False  # one has just failed there
 
 
--- a/oxbowarch/records.py
+++ b/oxbowarch/records.py
@@ -16,7 +16,7 @@
 DOORS_KEPT = 256  # classes and tenants remembered for one worker
 
 
-class Decayed:
+class DecayedCount:
     """A count N that decays since its last change at T: the state that EARRRL keeps."""
 
     __slots__ = ("count", "at", "served_by")
@@ -40,7 +40,7 @@
         return count
 
 
-class RateTable(OrderedDict[Hashable, Decayed]):
+class RateTable(OrderedDict[Hashable, DecayedCount]):
     """Decayed counts by name; the least recently used are forgotten beyond `most`."""
 
     def __init__(self, most: int) -> None:
@@ -49,7 +49,7 @@
 
     def add(self, name: Hashable, decay: float, now: float, amount: float = 1.0) -> float:
         """Count one, or another amount; returns the count as read before."""
-        entry = self[name] = self.pop(name) if name in self else Decayed(now)
+        entry = self[name] = self.pop(name) if name in self else DecayedCount(now)
         if len(self) > self.most:
             self.popitem(last=False)
         return entry.add(amount, decay, now)
@@ -63,52 +63,54 @@
         return entry.read(decay, now) if entry else 0.0
 
 
-class Smoothed:
-    """A mean of sightings in which older ones fade; starts from one sighting of 0."""
+class MovingAverage:
+    """A mean of sightings in which older ones decay; starts from one sighting of 0."""
 
-    __slots__ = ("seen", "total", "fade")
+    __slots__ = ("observations", "total", "decay")
 
-    def __init__(self, now: float, fade: float) -> None:
-        self.seen, self.total, self.fade = Decayed(now), Decayed(now), fade
+    def __init__(self, now: float, decay: float) -> None:
+        self.observations, self.total, self.decay = DecayedCount(now), DecayedCount(now), decay
 
-    def see(self, value: float, now: float) -> None:
-        self.seen.add(1.0, self.fade, now)
-        self.total.add(value, self.fade, now)
+    def observe(self, value: float, now: float) -> None:
+        self.observations.add(1.0, self.decay, now)
+        self.total.add(value, self.decay, now)
 
     def mean(self) -> float:
-        return self.total.count / (1.0 + self.seen.count)
+        return self.total.count / (1.0 + self.observations.count)
 
 
-class MeanTable(dict[int, Smoothed]):
+class MovingAverages(dict[int, MovingAverage]):
     """A smoothed mean for each number that is asked for."""
 
-    def __init__(self, now: float, fade: float) -> None:
+    def __init__(self, now: float, decay: float) -> None:
         super().__init__()
-        self.now, self.fade = now, fade
+        self.now, self.decay = now, decay
 
-    def __missing__(self, number: int) -> Smoothed:
-        self[number] = Smoothed(self.now, self.fade)
+    def __missing__(self, number: int) -> MovingAverage:
+        self[number] = MovingAverage(self.now, self.decay)
         return self[number]
 
 
 class Worker:
     """What this dispatcher knows of one worker."""
 
-    __slots__ = ("id", "entry", "room", "size", "report_until", "no_room_until", "waiting", "turned", "lag_out",
-                 "lag_at", "out", "running", "pace", "paces", "strikes", "rejections",
-                 "shunned_until", "slow_start", "others", "told_at", "back_at", "sent", "since",
-                 "started_at")  # fmt: skip
+    __slots__ = (
+        "id", "entry", "reported_free", "slots", "report_until", "no_room_until", "waiting", "rejected",
+        "lagged_outstanding", "lagged_at", "outstanding", "running", "slowdown_total", "slowdown_count", "failures",
+        "rejections", "shunned_until", "slow_start", "peer_outstanding", "published_at", "restored_at", "send_times",
+        "process_since", "started_at",
+    )  # fmt: skip
 
     def __init__(self, entry: Entry, tokens: float, now: float) -> None:
         self.id = entry.worker
         self.entry = entry
         self.started_at = entry.started_at  # the latest that a list has told of; 0: long ago
-        self.back_at = 0.0  # when an operator called it back; 0: never taken out
-        self.sent: deque[float] = deque(maxlen=SENDS_KEPT)  # times of own attempts
+        self.restored_at = 0.0  # when an operator called it back; 0: never taken out
+        self.send_times: deque[float] = deque(maxlen=SENDS_KEPT)  # times of own attempts
         self.running: list[Attempt] = []  # own attempts that have started, where workers tell that
-        self.since = -inf  # start of the process that the counts below are about, where it is known
-        self.others: dict[int, tuple[int, float]] = {}  # attempts out of others, and until when that counts
-        self.forget(tokens, now)
+        self.process_since = -inf  # start of the process that the counts below are about, where it is known
+        self.peer_outstanding: dict[int, tuple[int, float]] = {}  # attempts out of others, and until when that counts
+        self.reset(tokens, now)
 
     def restart(self, tokens: float, attempts: Iterable[Attempt], now: float) -> None:
         """A list tells that the process started at the entry's time: what was sent since then is in the new one.
@@ -116,56 +118,60 @@
         `attempts`: own ones that are out at this worker.  What others have out was told lately, and stands.
         """
         started_at = min(self.started_at, now)
-        others = self.others
-        here = [attempt for attempt in attempts if attempt.at >= started_at]
-        self.forget(tokens, now, len(here))
-        self.since, self.others = started_at, others
+        others = self.peer_outstanding
+        here = [attempt for attempt in attempts if attempt.sent_at >= started_at]
+        self.reset(tokens, now, len(here))
+        self.process_since, self.peer_outstanding = started_at, others
         self.running = [attempt for attempt in here if attempt.started]
         self.waiting = sum(attempt.waits for attempt in here)
-        self.slow_start = SlowStartBudget(tokens - sum(at >= started_at for at in self.sent), started_at)
+        self.slow_start = SlowStartBudget(tokens - sum(at >= started_at for at in self.send_times), started_at)
 
-    def forget(self, tokens: float, now: float, out: int = 0) -> None:
+    def reset(self, tokens: float, now: float, out: int = 0) -> None:
         """A new process: nothing learned of the old one holds, but for own attempts that may still be out there."""
-        self.room = 0.0  # free slots by the latest report, counted before own sends that are out
-        self.size = 0.0  # slots, as far as seen
+        self.reported_free = 0.0  # free slots by the latest report, counted before own sends that are out
+        self.slots = 0.0  # slots, as far as seen
         self.report_until = -inf  # until then the report is good
-        self.out = out  # own attempts out
+        self.outstanding = out  # own attempts out
         self.running = []
-        self.pace, self.paces = Decayed(now), Decayed(now)  # sum and number of its logged run times over the usual
+        self.slowdown_total = DecayedCount(now)  # sum of its logged run times over the usual
+        self.slowdown_count = DecayedCount(now)  # number of them
         self.waiting = 0  # own attempts there that have not started, where workers tell that
         self.no_room_until = -inf  # until then a report of no room shuts it out
-        self.turned = RateTable(DOORS_KEPT)  # N and T of 'full', for each class and tenant
-        self.lag_out, self.lag_at = 0.0, now  # own attempts out as a late report shows them
-        self.strikes = 0  # failures since the last success
+        self.rejected = RateTable(DOORS_KEPT)  # N and T of 'full', for each class and tenant
+        self.lagged_outstanding, self.lagged_at = 0.0, now  # own attempts out as a late report shows them
+        self.failures = 0  # failures since the last success
         self.rejections = 0  # calls that it turned away since the last that it served
         self.shunned_until = -inf
         self.slow_start = SlowStartBudget(tokens, now)
-        self.told_at = -inf  # when the others were last told of it
-        self.others = {}
+        self.published_at = -inf  # when the others were last told of it
+        self.peer_outstanding = {}
 
-    def count_out(self, change: int, fade: float, now: float) -> float:
+    def change_outstanding(self, change: int, decay: float, now: float) -> float:
         """Change the number of own attempts out; returns how many were out a moment ago."""
-        self.lag_out += (self.out - self.lag_out) * (1.0 - exp(fade * (self.lag_at - now)))
-        self.lag_at = now
-        self.out = max(0, self.out + change)
-        return self.lag_out
-
-    def hear(self, peer: int, out: int, now: float, until: float) -> None:
+        self.lagged_outstanding += (self.outstanding - self.lagged_outstanding) * (
+            1.0 - exp(decay * (self.lagged_at - now))
+        )
+        self.lagged_at = now
+        self.outstanding = max(0, self.outstanding + change)
+        return self.lagged_outstanding
+
+    def record_peer(self, peer: int, out: int, now: float, until: float) -> None:
         """What another dispatcher has out here; who has nothing is not kept, as all that is kept is added up often."""
-        self.others.pop(peer, None)
-        while self.others and next(iter(self.others.values()))[1] <= now:
-            del self.others[next(iter(self.others))]  # who has died says no more: of a thousand that would add up
+        self.peer_outstanding.pop(peer, None)
+        while self.peer_outstanding and next(iter(self.peer_outstanding.values()))[1] <= now:
+            # A peer that has died sends no more notes: of a thousand that would add up.
+            del self.peer_outstanding[next(iter(self.peer_outstanding))]
         if out:
-            self.others[peer] = out, until
+            self.peer_outstanding[peer] = out, until
 
-    def in_work(self, now: float) -> int:
+    def total_outstanding(self, now: float) -> int:
         """Attempts out there, of this dispatcher and of all others as far as they tell."""
-        return self.out + sum(out for out, until in self.others.values() if now < until)
+        return self.outstanding + sum(out for out, until in self.peer_outstanding.values() if now < until)
 
-    def see_pace(self, pace: float, fade: float, now: float) -> None:
-        """One job ended here; `pace` is its logged run time over the usual."""
-        self.pace.add(pace, fade, now)
-        self.paces.add(1.0, fade, now)
+    def record_slowdown(self, slowdown: float, decay: float, now: float) -> None:
+        """One job ended here; `slowdown` is its logged run time over the usual."""
+        self.slowdown_total.add(slowdown, decay, now)
+        self.slowdown_count.add(1.0, decay, now)
 
 
 class Window:
@@ -190,14 +196,14 @@
 class Attempt:
     """One send of a job to a worker."""
 
-    __slots__ = ("worker", "job_class", "entry", "at", "out", "may_have_run", "started", "waits")
+    __slots__ = ("worker", "job_class", "entry", "sent_at", "outstanding", "may_have_run", "started", "waits")
 
     def __init__(self, worker: Worker, job_class: int, now: float, tells_start: bool) -> None:
         self.worker = worker
         self.job_class = job_class
         self.entry = worker.entry  # where it was sent, whatever the list says of that worker later
-        self.at = now
-        self.out = self.may_have_run = True
+        self.sent_at = now
+        self.outstanding = self.may_have_run = True
         self.started = 0.0  # when it began to run, as far as workers tell; 0: not known
         self.waits = tells_start  # counted as waiting at its worker
         worker.waiting += tells_start
@@ -205,7 +211,7 @@
     @property
     def counts(self) -> bool:
         """Did it go to the process that its worker's counts are about?"""
-        return self.at >= self.worker.since
+        return self.sent_at >= self.worker.process_since
 
     def _no_longer_waits(self) -> None:
         if self.waits:
@@ -213,13 +219,13 @@
             self.worker.waiting = max(0, self.worker.waiting - self.counts)
 
     def start(self, now: float) -> None:
-        if self.out and not self.started and self.counts:
+        if self.outstanding and not self.started and self.counts:
             self.worker.running.append(self)
         self.started = self.started or now
         self._no_longer_waits()
 
     def end(self, may_have_run: bool) -> None:
-        self.out, self.may_have_run = False, may_have_run
+        self.outstanding, self.may_have_run = False, may_have_run
         if self in self.worker.running:  # not after a restart of the worker
             self.worker.running.remove(self)
         self._no_longer_waits()
@@ -228,21 +234,23 @@
 class Job:
     """A request that this dispatcher owes an answer."""
 
-    __slots__ = ("id", "ask", "rule", "since", "deadline", "attempts", "out", "timed", "doors", "ended",
-                 "most")  # fmt: skip
+    __slots__ = (
+        "id", "request", "policy", "since", "deadline", "attempts", "outstanding", "has_timer",
+        "rejection_keys", "ended", "max_attempts",
+    )  # fmt: skip
 
-    def __init__(self, ask: Request, settings: Settings, now: float) -> None:
-        self.id = ask.id
-        self.ask = ask
+    def __init__(self, request: Request, settings: Settings, now: float) -> None:
+        self.id = request.id
+        self.request = request
         # Its rule and bound for good: settings that change while it is open are for others.
-        self.rule = settings.classes[ask.job_class]
-        self.most = min(settings.max_attempts, self.rule.max_attempts)
+        self.policy = settings.classes[request.job_class]
+        self.max_attempts = min(settings.max_attempts, self.policy.max_attempts)
         self.since = now
-        self.deadline = now + ask.budget
+        self.deadline = now + request.budget
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that are out
-        self.timed = False  # its answering timer is set
-        self.doors = ("class", ask.job_class), ("tenant", ask.tenant)  # whom a worker may turn away
+        self.outstanding = 0  # attempts that are out
+        self.has_timer = False  # its answering timer is set
+        self.rejection_keys = ("class", request.job_class), ("tenant", request.tenant)  # whom a worker may turn away
         self.ended = False  # answered; kept only until the last attempt has come back
 
     def ran_first(self) -> Attempt | None:
@@ -255,7 +263,7 @@
 
     def queue(self, part: float) -> bool:
         """Do more attempts wait at workers than one, and this part of those that run?"""
-        out = [attempt for job in self.values() for attempt in job.attempts if attempt.out]
+        out = [attempt for job in self.values() for attempt in job.attempts if attempt.outstanding]
         waiting = sum(attempt.waits for attempt in out)
         return waiting > 1 + part * (len(out) - waiting)
 
--- a/oxbowarch/simhost.py
+++ b/oxbowarch/simhost.py
@@ -10,7 +10,7 @@
 from oxbowarch import wire
 from oxbowarch.brain import Brain
 from oxbowarch.interface import ListKind, Outcome, Request, SendNotes
-from oxbowarch.notes import Notebook
+from oxbowarch.notes import NoteCodec
 
 
 class Host:
@@ -20,7 +20,7 @@
         self.codec = wire.Codec()
         self.brains: dict[int, Brain] = {}
         self.dead: set[int] = set()
-        self.notebooks: dict[int, Notebook] = {}
+        self.notebooks: dict[int, NoteCodec] = {}
 
     def reply(self, body: bytes) -> bytes:
         """The reply frame to one batch."""
@@ -54,7 +54,7 @@
             settings, names = wire.parse_settings(event.settings)
             self.codec.place(instance, names)
             self.brains[instance] = Brain(settings, event.seed, now)
-            self.notebooks[instance] = Notebook()
+            self.notebooks[instance] = NoteCodec()
             return ()
         if kind is wire.Shutdown:
             self.brains.pop(instance, None)
@@ -74,7 +74,7 @@
             notes = self.notebooks[instance].read(event.sender, event.data, now)
             return brain.on_notes(event.sender, notes, now) if notes else ()
         if kind is wire.Update:
-            self.notebooks[instance].list_names(event.entries, event.kind in (ListKind.FULL, ListKind.CACHED))
+            self.notebooks[instance].set_workers(event.entries, event.kind in (ListKind.FULL, ListKind.CACHED))
             return brain.on_list(event.kind, event.entries, now)
         if kind is wire.Accepted:
             return brain.on_accepted(event.id, event.attempt, now)
--- a/oxbowarch/slow_start.py
+++ b/oxbowarch/slow_start.py
@@ -13,7 +13,7 @@
 from oxbowarch.interface import Settings
 
 if TYPE_CHECKING:
-    from oxbowarch.records import Smoothed
+    from oxbowarch.records import MovingAverage
 
 TOKENS_MOST = 1.0  # calls that one dispatcher may save up for one worker
 
@@ -26,9 +26,9 @@
     return settings.cold_from + (1.0 - settings.cold_from) * max(0.0, age) / settings.warm_up
 
 
-def capacity(slots: float, runs: Iterable[Smoothed]) -> float:
+def capacity(slots: float, runs: Iterable[MovingAverage]) -> float:
     """Calls a second that so many slots can run; inf where `runs`, the logged run times of classes, has none."""
-    seen = [(run.seen.count, exp(run.mean())) for run in runs if run.seen.count]
+    seen = [(run.observations.count, exp(run.mean())) for run in runs if run.observations.count]
     calls = sum(count for count, _ in seen)
     seconds = sum(count * mean for count, mean in seen)
     return slots * calls / seconds if seconds else inf
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -279,14 +279,14 @@
     brain = Brain(Settings(1, 0, (OLD,), warm_up=10.0, cold_from=0.2), 1, 0.0)
     brain.on_list(ListKind.CACHED, tuple(Entry(b"h%d" % n, State.READY) for n in range(4)), 0.0)
     worker = brain.workers[b"h1"]
-    worker.strikes, worker.shunned_until = 5, 99.0
+    worker.failures, worker.shunned_until = 5, 99.0
     brain.on_ban(b"h1", True, 1.0)
     brain.on_ban(b"h1", False, 2.0)
-    assert worker.strikes == 0 and brain._warmth(worker, 2.0) == pytest.approx(0.2)
+    assert worker.failures == 0 and brain._warmth(worker, 2.0) == pytest.approx(0.2)
     # The list tells of the restart late: what was sent there since is still out.
-    worker.out = 1
+    worker.outstanding = 1
     brain.on_list(ListKind.CHANGES, (Entry(b"h1", State.READY, started_at=1.5),), 2.5)
-    assert worker.out == 1 and brain._warmth(worker, 2.0) == pytest.approx(0.2)
+    assert worker.outstanding == 1 and brain._warmth(worker, 2.0) == pytest.approx(0.2)
     sent = []
     for n in range(40):  # eight a second
         at = 2.5 + n / 8
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -51,12 +51,12 @@
 def press(brain: Brain, now: float, busy: float = 1.0) -> None:
     """Full pressure, without the even refusal that overload brings."""
     for _ in range(200):
-        brain.busy[module.ANYWHERE].see(busy, now)
+        brain.busy_share[module.ANYWHERE].observe(busy, now)
 
 
 def shut_out(worker: Worker) -> None:
     """It reports no room, for good."""
-    worker.room, worker.report_until, worker.no_room_until = -50.0, math.inf, math.inf
+    worker.reported_free, worker.report_until, worker.no_room_until = -50.0, math.inf, math.inf
 
 
 def offer(brain: Brain, tenant: int, rate: float, seconds: float, start: float, first_id: int) -> Counter:
@@ -79,7 +79,7 @@
 def test_estimate_converges_to_the_rate_and_halves_in_a_half_life() -> None:
     brain = make(limits=(1e9,))
     for n in range(2000):
-        brain._claim(0, False, n / 20)
+        brain._excess(0, False, n / 20)
     kept = brain.rates[0]
     assert kept.count * module.DECAY == pytest.approx(20, rel=0.05)
     before = kept.count
@@ -103,7 +103,7 @@
     for n in range(500):
         for send in sent(brain.on_request(Request(n, 0, 5.0), n / 50)):
             brain.on_outcome(ended(send, Status.OK, free=8.0), n / 50)
-    assert not brain.pressed and brain.busy[module.ANYWHERE].mean() == 0.0
+    assert not brain.under_pressure and brain.busy_share[module.ANYWHERE].mean() == 0.0
 
 
 def test_one_tenant_does_not_use_up_anothers_limit() -> None:
@@ -166,10 +166,10 @@
 
 def test_draw_follows_reported_free_slots_plus_one() -> None:
     brain, seen = make(count=3), Counter()
-    brain.most = 7.0
+    brain.max_free = 7.0
     for n in range(6000):
         for worker, free in zip(brain.workers.values(), (7.0, 3.0, 1.0), strict=True):
-            worker.room, worker.report_until, worker.out = free, math.inf, 0
+            worker.reported_free, worker.report_until, worker.outstanding = free, math.inf, 0
         for send in sent(brain.on_request(Request(n, 0, 5.0), 0.0)):
             seen[send.worker] += 1
             brain.on_outcome(ended(send, Status.OK), 0.0)
@@ -184,7 +184,7 @@
     brain.on_outcome(ended(send, Status.OK, free=2.0), 10.0)
     assert len(sent(brain.on_request(Request(2, 0, 5.0), 20.0))) == 1
     worker = brain.workers[name(0)]
-    brain._heard(worker, Report(2.0), 20.0)
+    brain._record_report(worker, Report(2.0), 20.0)
     sends = [len(sent(brain.on_request(Request(3 + n, 0, 5.0), 20.0))) for n in range(4)]
     assert sum(sends) <= 2
 
@@ -211,7 +211,7 @@
     brain, used = make(count=8), Counter()
     for n in range(2000):
         for worker in brain.workers.values():
-            worker.room, worker.report_until = 5.0 + worker.out, math.inf
+            worker.reported_free, worker.report_until = 5.0 + worker.outstanding, math.inf
         for send in sent(brain.on_request(Request(n, 0, 5.0, 0, 1 + n % 40), n / 100)):
             used[n % 40, send.worker] += 1
             brain.on_outcome(ended(send, Status.OK), n / 100)
@@ -222,7 +222,7 @@
     brain, used = make(count=8), Counter()
     for n in range(400):
         for worker in brain.workers.values():
-            worker.room, worker.report_until = 5.0 + worker.out, math.inf
+            worker.reported_free, worker.report_until = 5.0 + worker.outstanding, math.inf
         for send in sent(brain.on_request(Request(n, 0, 5.0, 0, 77), n / 100)):
             used[send.worker] += 1
             brain.on_outcome(ended(send, Status.OK), n / 100)
@@ -267,7 +267,7 @@
 
     run(20.0)
     brain.on_list(ListKind.CHANGES, (Entry(name(99), State.READY, started_at=now),), now)
-    brain._heard(brain.workers[name(99)], Report(50.0), now)
+    brain._record_report(brain.workers[name(99)], Report(50.0), now)
     seen = run(2.0)
     assert seen[name(99)] <= 0.35 * sum(seen.values()) / 10 + 2
     later = run(40.0)
@@ -283,7 +283,7 @@
             for send in sent(brain.on_request(Request(n, 0, 5.0), n / 2)):
                 brain.on_outcome(ended(send, Status.OK), n / 2)
         brain.on_list(ListKind.CHANGES, (Entry(name(99), State.READY, started_at=20.0),), 20.0)
-        brain._heard(brain.workers[name(99)], Report(50.0), 20.0)
+        brain._record_report(brain.workers[name(99)], Report(50.0), 20.0)
         for n in range(6):
             total += sum(s.worker == name(99) for s in sent(brain.on_request(Request(900 + n, 0, 5.0), 20 + n / 2)))
     assert total <= 2 * 100 * 2 * 3 / 21
@@ -338,7 +338,7 @@
     brain.on_outcome(ended(send, Status.OK), 0.2)
     assert brain.on_outcome(ended(send, Status.OK), 0.2) == []
     assert brain.on_withdrawn(1, 0.3) == [] and brain.on_timer(4, 0.3) == []
-    assert not brain.jobs and all(worker.out == 0 for worker in brain.workers.values())
+    assert not brain.jobs and all(worker.outstanding == 0 for worker in brain.workers.values())
 
 
 @pytest.mark.parametrize(
@@ -375,11 +375,11 @@
     """Two hundred that each leave one waiting at every worker make queues that none of them sees."""
     brain = make(count=30, balancers=200, tells_start=True)
     waiting = asked(brain, 20)
-    assert len(waiting) == 2 and len(brain.held) == 18  # one, and one more before it is seen that it waits
+    assert len(waiting) == 2 and len(brain.queued) == 18  # one, and one more before it is seen that it waits
     for send in waiting:
         brain.on_started(send.id, 0, 0.0)
     assert len(asked(brain, 20, 100)) == 3  # two run, for which one may wait beside the one
-    held = len(brain.held)
+    held = len(brain.queued)
     assert len(brain.jobs) == held + 5
     brain.on_outcome(ended(waiting[0], Status.OK), 0.1)
     assert len(brain.jobs) == held + 4
@@ -433,7 +433,7 @@
     brain = make(count=0, classes=(SAFE, JobClass(Effect.SAFE, kinds=(1,))))
     brain.on_list(ListKind.FULL, fleet(3) + (Entry(name(9), State.READY, kind=1),), 0.0)
     for _ in range(200):
-        brain.busy[(1,), None].see(1.0, 0.0)
+        brain.busy_share[(1,), None].observe(1.0, 0.0)
     asked = [brain.on_request(Request(10 + n, 1, 5.0), 0.0) for n in range(20)]
     assert any(isinstance(a, Refuse) for actions in asked for a in actions)
     assert sent(brain.on_request(Request(2, 0, 5.0), 0.0))
@@ -490,8 +490,8 @@
     for n in range(20):  # one short job after another, each ended before the next
         (send,) = sent(brain.on_request(Request(n, 0, 5.0), n / 50))
         brain.on_outcome(ended(send, Status.OK), n / 50 + 0.01)
-    brain._heard(worker, Report(2.0), 0.4)
-    assert worker.room - worker.out == pytest.approx(2.5, abs=0.5)
+    brain._record_report(worker, Report(2.0), 0.4)
+    assert worker.reported_free - worker.outstanding == pytest.approx(2.5, abs=0.5)
 
 
 def test_a_held_keyed_job_counts_once_for_its_key() -> None:
@@ -514,8 +514,8 @@
 
     assert zones(0) == {0}
     for _ in range(50):
-        brain._heard(brain.workers[name(0)], Report(1.0, 0.0, 9.0), 0.0)
-        brain._heard(brain.workers[name(1)], Report(5.0, 0.0, 5.0), 0.0)
+        brain._record_report(brain.workers[name(0)], Report(1.0, 0.0, 9.0), 0.0)
+        brain._record_report(brain.workers[name(1)], Report(5.0, 0.0, 5.0), 0.0)
     assert zones(100) == {0, 1}
 
 
@@ -539,16 +539,16 @@
         (send,) = sent(brain.on_request(Request(1000 + n, job_class, 5.0, tenant), 15.5 + n / 1e6))
         took[struck, send.worker == picky] += 1
         brain.on_withdrawn(1000 + n, 15.5 + n / 1e6)
-        brain.workers[send.worker].out -= 1
+        brain.workers[send.worker].outstanding -= 1
     assert 5 * took[True, True] < took[False, True]
 
 
 def test_no_room_is_believed_briefly_where_workers_queue_and_longer_where_full_is_common() -> None:
     rare, common = make(count=1), make(count=1)
     for n in range(100):
-        common.full.see(n % 2, 0.0)
+        common.full.observe(n % 2, 0.0)
     for brain in (rare, common):
-        brain._heard(brain.workers[name(0)], Report(0.0, 5.0), 0.0)
+        brain._record_report(brain.workers[name(0)], Report(0.0, 5.0), 0.0)
     later = module.REPORT_AGE * (module.NO_ROOM_PART + 0.1)
     assert not sent(rare.on_request(Request(1, 0, 5.0), later / 2))
     assert sent(rare.on_request(Request(2, 0, 5.0), later))
@@ -568,7 +568,7 @@
     for n in range(20):
         for send in sent(brain.on_request(Request(n, 0, 5.0), n / 2)):
             brain.on_outcome(ended(send, Status.FULL), n / 2)
-    assert brain.busy[module.ANYWHERE].mean() > 0.5
+    assert brain.busy_share[module.ANYWHERE].mean() > 0.5
 
 
 def test_every_refusal_names_a_time_to_come_back() -> None:
@@ -591,14 +591,14 @@
     entries = tuple(Entry(name(n), State.READY, kind=n % 2) for n in range(40))
     brain.on_list(ListKind.FULL, entries, 0.0)
     for n in range(20):
-        brain._heard(brain.workers[name(n)], Report(6.0 * (n % 2)), n / 10)
+        brain._record_report(brain.workers[name(n)], Report(6.0 * (n % 2)), n / 10)
     for worker in brain.workers.values():
         worker.report_until = -math.inf
     for n in range(300):
         for send in sent(brain.on_request(Request(n, 0, 5.0), 2.0)):
             seen[send.worker[3] % 2] += 1
             brain.on_withdrawn(n, 2.0)
-            brain.workers[send.worker].out = 0
+            brain.workers[send.worker].outstanding = 0
     assert seen[1] > 3 * seen[0] > 0
 
 
@@ -641,16 +641,21 @@
 
 def test_a_report_of_no_room_shuts_nobody_out_where_own_waiting_attempts_tell_it() -> None:
     brain = make(count=1, tells_start=True)
-    brain._heard(brain.workers[name(0)], Report(0.0, 5.0), 0.0)
+    brain._record_report(brain.workers[name(0)], Report(0.0, 5.0), 0.0)
     assert sent(brain.on_request(Request(1, 0, 5.0), 0.01)) and not sent(brain.on_request(Request(2, 0, 5.0), 0.02))
 
 
 def test_own_attempts_out_weigh_as_much_as_reported_room() -> None:
     brain, seen = make(count=2), Counter()
-    brain.most = 2.0
+    brain.max_free = 2.0
     for n in range(3000):
         for worker, out in zip(brain.workers.values(), (0, 3), strict=True):
-            worker.room, worker.report_until, worker.out, worker.lag_out = out + 2.0, math.inf, out, out
+            worker.reported_free, worker.report_until, worker.outstanding, worker.lagged_outstanding = (
+                out + 2.0,
+                math.inf,
+                out,
+                out,
+            )
         for send in sent(brain.on_request(Request(n, 0, 5.0), 0.0)):
             seen[send.worker] += 1
     assert seen[name(0)] / sum(seen.values()) == pytest.approx(4 / 5, abs=0.03)
@@ -682,9 +687,9 @@
     brain.on_request(Request(1000, 0, 50.0), 40.0)
     brain.on_started(1000, 0, 40.0)
     worker = brain.workers[name(0)]
-    assert slowness(worker, brain.runs, 40.1) < 0.1 < 0.4 < slowness(worker, brain.runs, 42.0)
+    assert slowness(worker, brain.run_times, 40.1) < 0.1 < 0.4 < slowness(worker, brain.run_times, 42.0)
     brain.on_list(ListKind.FULL, (Entry(name(0), State.READY, started_at=42.0),), 42.0)
-    assert slowness(worker, brain.runs, 50.0) == 0.0  # a new process
+    assert slowness(worker, brain.run_times, 50.0) == 0.0  # a new process
 
 
 def test_the_class_that_earns_most_by_a_slot_takes_room_first_and_gives_way_last() -> None:
@@ -736,20 +741,20 @@
 def test_no_second_copy_takes_the_place_of_another_job_or_outlives_its_budget() -> None:
     busy, spent, lone = copying()[0], copying()[0], copying(count=1)[0]
     for _ in range(100):
-        busy.busy[module.ANYWHERE].see(1.0, 50.0)
-    spent.copy_credit = 0.9
+        busy.busy_share[module.ANYWHERE].observe(1.0, 50.0)
+    spent.hedge_tokens = 0.9
     assert not any(looks(brain, 54.9) for brain in (busy, spent, lone))
 
 
 def test_copies_that_win_are_sent_sooner_and_earn_more() -> None:
     brain, _ = copying()
     for _ in range(9):
-        brain.won.see(1.0, 50.0)
-    brain.copy_credit = 2.0
+        brain.won.observe(1.0, 50.0)
+    brain.hedge_tokens = 2.0
     ((when, copy),) = looks(brain, 54.0)
     assert 50.3 < when < 51.0  # from its aim on, less a usual run
     brain.on_outcome(Outcome(900, 1, copy.worker, Status.OK, 0.1, True), when + 0.1)
-    assert brain.copy_credit == 1.0 + module.COPY_WON
+    assert brain.hedge_tokens == 1.0 + module.COPY_WON
 
 
 def test_a_keyed_copy_stays_in_its_cell() -> None:
@@ -769,8 +774,8 @@
     for share in (0.0, 0.2):
         brain = make(count=2)
         for _ in range(40):
-            brain.failing.see(share, 0.0)
-        brain._strike(brain.workers[name(0)], 0.0)
+            brain.failing.observe(share, 0.0)
+        brain._record_failure(brain.workers[name(0)], 0.0)
         shunned.append(brain.workers[name(0)].shunned_until)
     assert shunned[1] == pytest.approx(shunned[0] * (1 - COMMON_FAILURE * 0.2), abs=0.03)
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -38,7 +38,7 @@
         fleet.act(n, brain.on_list(ListKind.CHANGES, tuple(news), START))
 
     def restart(n: int) -> None:
-        settings: Settings = fleet.brains[n].set
+        settings: Settings = fleet.brains[n].settings
         fleet.brains[n] = Brain(settings, 1000 * seed + int(10 * fleet.now) + n, fleet.now)
         fleet.act(n, fleet.brains[n].on_list(ListKind.CACHED, (*fleet.entries[workers // 2 :], *news), fleet.now))
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -20,7 +20,7 @@
 
 from oxbowarch.brain import Brain
 from oxbowarch.interface import Effect, Entry, JobClass, ListKind, Settings, State, Status
-from oxbowarch.notes import Notebook
+from oxbowarch.notes import NoteCodec
 from tests.standins import Http, Told
 from tests.support import ROOT, Lines, free_port, listening, play, program, read_all, socket_pair
 from tests.test_config import PLATFORM
@@ -213,7 +213,7 @@
     found, counts = trio.run(scenario)
     assert found == [model.NotesReceived(1, b"x" * 257), model.NotesReceived(1, b"good")]
     assert counts == {"stranger": 1, "heard": 2, "told": 2}
-    assert Notebook().read(1, found[0].data, 0.0) == ()  # type: ignore[union-attr]
+    assert NoteCodec().read(1, found[0].data, 0.0) == ()  # type: ignore[union-attr]
 
 
 def test_of_two_processes_on_one_datagram_socket_the_one_that_leaves_neither_hears_nor_tells() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     Cancel, Effect, Entry, Fail, JobClass, ListKind, Note, Outcome, Refuse, Report, Request, Send, Settings, State,
     Status, SendNotes, Timer,
 )  # fmt: skip
-from oxbowarch.notes import BYTES_MOST, FAILED, LAST_FEW, Notebook, short
+from oxbowarch.notes import MAX_DATAGRAM_BYTES, FAILED, MIN_STORED_NOTES, NoteCodec, worker_hash
 from oxbowarch.records import Homes, Worker
 from tests.support import steady
 
@@ -155,7 +155,7 @@
 def test_notes_that_are_lost_are_made_good_by_later_ones() -> None:
     fleet = played(True, 190.0, lost=0.3)
     assert fleet.ends["in time"] / sum(fleet.ends.values()) > 0.93
-    assert not any(worker.in_work(fleet.now) for brain in fleet.brains for worker in brain.workers.values())
+    assert not any(worker.total_outstanding(fleet.now) for brain in fleet.brains for worker in brain.workers.values())
 
 
 def test_notes_cost_few_datagrams_over_the_fleet(told: Fleet) -> None:
@@ -199,7 +199,7 @@
         brain.on_list(ListKind.CACHED, tuple(Entry(worker_name(n), State.READY) for n in range(60)), 0.0)
         brain.counted_at = 99.0
         for _ in range(400):
-            brain.busy[None, None].see(0.85, 1.0)
+            brain.busy_share[None, None].observe(0.85, 1.0)
         asks = [Request(n, 0, budget, repeat=repeat) for n in range(300)]
         passed[repeat, budget] = sum(not any(isinstance(a, Refuse) for a in brain.on_request(ask, 1.0)) for ask in asks)
     assert passed[False, 10.0] == passed[True, 9.9] == 300 and passed[True, 8.0] < 100
@@ -209,7 +209,7 @@
     brain = Brain(Settings(2, 0, (SEARCH,), shares_notes=True), 1, 0.0)
     brain.on_list(ListKind.CACHED, (Entry(b"a", State.READY),), 0.0)
     brain.on_notes(1, (Note(b"a", 3),), 1.0)
-    assert brain.workers[b"a"].in_work(2.0) == 3 and brain.workers[b"a"].in_work(4.1) == 0
+    assert brain.workers[b"a"].total_outstanding(2.0) == 3 and brain.workers[b"a"].total_outstanding(4.1) == 0
     assert brain.on_notes(1, (Note(b"unheard of", 3),), 1.0) == [] and len(brain.workers) == 1
 
 
@@ -252,7 +252,7 @@
 
 
 # Of names that share their two bytes nothing is told: here each has its own.
-NAMES = list({short(worker_name(n)): worker_name(n) for n in range(200)}.values())
+NAMES = list({worker_hash(worker_name(n)): worker_name(n) for n in range(200)}.values())
 
 
 def listed(names: list[bytes]) -> list[Entry]:
@@ -268,24 +268,24 @@
 @given(NOTES)
 def test_notes_come_back_as_they_were_told(notes: list[Note]) -> None:
     notes = list({note.worker: note for note in notes}.values())
-    here, there = Notebook(), Notebook()
-    there.list_names(listed(NAMES))
+    here, there = NoteCodec(), NoteCodec()
+    there.set_workers(listed(NAMES))
     data = here.write(notes)
-    assert all(len(part) <= BYTES_MOST for part in data)
+    assert all(len(part) <= MAX_DATAGRAM_BYTES for part in data)
     read = [note for part in data for note in there.read(1, part, 0.0)]
     assert len(read) == len(notes) and not there.counts
     for told, got in zip(notes, read, strict=True):
-        assert (got.worker, got.out, got.failed) == (told.worker, told.out, told.failed)
-        assert told.failed or (told.pace is None) == (got.pace is None)
-        assert got.pace is None or told.pace is None or abs(got.pace - told.pace) <= 0.125 + 1e-9
+        assert (got.worker, got.outstanding, got.failed) == (told.worker, told.outstanding, told.failed)
+        assert told.failed or (told.slowdown is None) == (got.slowdown is None)
+        assert got.slowdown is None or told.slowdown is None or abs(got.slowdown - told.slowdown) <= 0.125 + 1e-9
 
 
 @steady
 @given(st.binary(max_size=300))
 def test_no_datagram_does_more_than_be_counted(data: bytes) -> None:
-    book = Notebook()
-    book.list_names(listed([b"a", b"b"]))
-    assert all(note.worker in (b"a", b"b") and note.out <= 15 for note in book.read(3, data, 1.0))
+    book = NoteCodec()
+    book.set_workers(listed([b"a", b"b"]))
+    assert all(note.worker in (b"a", b"b") and note.outstanding <= 15 for note in book.read(3, data, 1.0))
 
 
 def test_nothing_is_told_of_workers_that_share_a_short_name_until_one_is_gone() -> None:
@@ -293,41 +293,41 @@
     names = [b"s-%08x" % crc32(b"%d" % n) for n in range(1024)]
     by_short: dict[int, list[bytes]] = {}
     for name in names:
-        by_short.setdefault(short(name), []).append(name)
+        by_short.setdefault(worker_hash(name), []).append(name)
     first, second = next(same for same in by_short.values() if len(same) == 2)
-    here, there = Notebook(), Notebook()
+    here, there = NoteCodec(), NoteCodec()
     for book in (here, there):
-        book.list_names(listed(names))
+        book.set_workers(listed(names))
     assert here.write([Note(first, 1)]) == [] and len(here.write([Note(first, 1), Note(names[0], 2)])) == 1
-    one = Notebook().write([Note(second, 3)])[0]
+    one = NoteCodec().write([Note(second, 3)])[0]
     assert there.read(1, one, 1.0) == () and there.counts["shared_name"] == 1
-    there.list_names([Entry(first, State.GONE)])
+    there.set_workers([Entry(first, State.GONE)])
     assert there.read(1, one, 2.0) == (Note(second, 3),)
 
 
 def test_a_thousand_senders_about_a_thousand_workers_fill_no_memory() -> None:
-    book, names = Notebook(), [b"s-%d" % n for n in range(1024)]
-    book.list_names(listed(names))
+    book, names = NoteCodec(), [b"s-%d" % n for n in range(1024)]
+    book.set_workers(listed(names))
     worker = Worker(Entry(names[0], State.READY), 0.0, 0.0)
     for sender in range(1024):
         now = 0.05 * sender
-        for data in Notebook().write([Note(name, 1) for name in names[sender % 7 :: 7]]):
+        for data in NoteCodec().write([Note(name, 1) for name in names[sender % 7 :: 7]]):
             book.read(sender, data, now)
-        worker.hear(sender, 1, now, now + 3.0)  # and none of them is heard again
-    assert len(book._last) <= 3 * LAST_FEW and len(worker.others) <= 61
+        worker.record_peer(sender, 1, now, now + 3.0)  # and none of them is heard again
+    assert len(book._last) <= 3 * MIN_STORED_NOTES and len(worker.peer_outstanding) <= 61
 
 
 def test_bad_datagrams_are_told_apart_and_change_nothing() -> None:
-    book, peer = Notebook(), Notebook()
-    book.list_names(listed([b"a"]))
+    book, peer = NoteCodec(), NoteCodec()
+    book.set_workers(listed([b"a"]))
     first, second = peer.write([Note(b"a", 1)])[0], peer.write([Note(b"a", 2)])[0]
-    assert [note.out for note in book.read(0, second, 1.0)] == [2]
+    assert [note.outstanding for note in book.read(0, second, 1.0)] == [2]
     assert book.read(0, first, 1.01) == () and book.read(0, second, 1.02) == ()  # late, and twice
     assert [book.read(0, bad, 2.0) for bad in (b"", second + b"x", bytes(257))] == [()] * 3
     assert book.read(0, b"\xff\xff" + second[2:], 2.0) == ()
     assert book.read(0, peer.write([Note(b"other", 1)])[0], 3.0) == ()
     assert dict(book.counts) == {"out_of_order": 2, "malformed": 3, "other_version": 1, "unknown_worker": 1}
-    assert [note.out for note in book.read(0, first, 9.0)] == [1]  # a peer that started again counts from anew
+    assert [note.outstanding for note in book.read(0, first, 9.0)] == [1]  # a peer that started again counts from anew
     assert FAILED == 15
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -130,7 +130,7 @@
             client = await tier.ask()
             await tier.inbox.opened.wait()
             await trio.sleep(0.1)
-            assert tier.broker.brain.held
+            assert tier.broker.brain.queued
             end(client, how)
             await tier.inbox.left.wait()  # it is noticed, and the broker has not heard
             tier.list_host()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -79,21 +79,21 @@
     for n in range(100):
         old.on_request(Request(n, 0, 5.0, tenant=1), n / 20)
     old.on_ban(b"h1", True, 5.0)
-    old.workers[b"h2"].strikes = 4
-    memory = json.loads(json.dumps(handover.take(old, ("search",), {"acme": 0, "zulu": 1}, 5.0)))
+    old.workers[b"h2"].failures = 4
+    memory = json.loads(json.dumps(handover.export_state(old, ("search",), {"acme": 0, "zulu": 1}, 5.0)))
     new = module()
     # Names keep their meaning where the next process numbers them anew.
-    handover.give(new, memory, ("other", "search"), {"zulu": 0, "acme": 1}, 1005.0)
+    handover.restore_state(new, memory, ("other", "search"), {"zulu": 0, "acme": 1}, 1005.0)
     assert new.rates[0].read(0.1, 1005.0) == pytest.approx(old.rates[1].read(0.1, 5.0)) and 1 not in new.rates
-    assert new.banned == {b"h1"} and new.workers[b"h2"].strikes == 4 and new.born == pytest.approx(1000.0)
+    assert new.banned == {b"h1"} and new.workers[b"h2"].failures == 4 and new.started_at == pytest.approx(1000.0)
 
 
 @pytest.mark.parametrize("path", ["age", "rates", "smoothed", "workers", "banned", "taken"])
 def test_a_memory_that_is_no_good_is_told_apart(path: str) -> None:
-    memory = handover.take(module(), ("search",), {}, 5.0)
+    memory = handover.export_state(module(), ("search",), {}, 5.0)
     for value in (None, "x", float("nan"), [["x"]], {"h1": 3}):
         with pytest.raises((KeyError, TypeError, ValueError, AttributeError, IndexError)):
-            handover.give(module(), {**memory, path: value}, ("search",), {"h1": 0}, 9.0)
+            handover.restore_state(module(), {**memory, path: value}, ("search",), {"h1": 0}, 9.0)
 
 
 # -- the program, twice
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -190,7 +190,7 @@
         assert not self.open, "a request was lost"
         for request, number in self.out():
             self.end(request, number, Status.CANCELLED)
-        assert not self.brain.jobs and not self.brain.held
+        assert not self.brain.jobs and not self.brain.queued
 
 
 STEPS = st.lists(st.tuples(st.integers(0, 10), st.integers(0, 59), st.integers(0, 59)), max_size=80)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.soak.terms import Terms
-from oxbowarch.shunning import STRIKES_MOST
+from oxbowarch.shunning import MAX_FAILURES
 from oxbowarch.brain import Brain
 from oxbowarch.interface import Entry, ListKind, Outcome, Report, Request, Settings, State, Status
 from tests.test_fleet import SEARCH, SLOTS, Fleet, worker_name
@@ -132,7 +132,7 @@
 
     fleet.end = count_end  # type: ignore[method-assign]
     fleet.played()
-    assert max(refused.values()) <= dispatchers * (STRIKES_MOST + 1), refused
+    assert max(refused.values()) <= dispatchers * (MAX_FAILURES + 1), refused
 
 
 @pytest.mark.parametrize("late", [0.6, 1.6])
@@ -157,11 +157,11 @@
         brain.on_started(number, 0, 2.05 + number / 10)
     worker = brain.workers[b"a"]
     brain.on_list(ListKind.CHANGES, (Entry(b"a", State.READY, started_at=2.0),), 2.4)
-    assert worker.out == 2 and len(worker.running) == 2 and worker.slow_start.tokens <= -1.0
+    assert worker.outstanding == 2 and len(worker.running) == 2 and worker.slow_start.tokens <= -1.0
     brain.on_outcome(Outcome(1, 0, b"a", Status.RESET, 1.0, False), 2.4)
-    assert worker.out == 2  # the first one was lost with the process before
+    assert worker.outstanding == 2  # the first one was lost with the process before
     brain.on_outcome(Outcome(2, 0, b"a", Status.OK, 1.0, True), 2.5)
-    assert worker.out == 1 and len(worker.running) == 1
+    assert worker.outstanding == 1 and len(worker.running) == 1
 
 
 @pytest.mark.parametrize("between", [State.GONE, State.DRAINING])
@@ -169,10 +169,10 @@
     """Lines of hosts that have left, and lines that cannot be read, tell no start."""
     brain = Brain(Settings(1, 0, (SEARCH,), cold_from=0.12, warm_up=24.0), 1, 0.0)
     brain.on_list(ListKind.FULL, (Entry(b"a", State.READY, started_at=1.0),), 1.5)
-    brain.workers[b"a"].slow_start.tokens, brain.workers[b"a"].out = -3.0, 2
+    brain.workers[b"a"].slow_start.tokens, brain.workers[b"a"].outstanding = -3.0, 2
     brain.on_list(ListKind.CHANGES, (Entry(b"a", between),), 2.0)
     brain.on_list(ListKind.CHANGES, (Entry(b"a", State.READY, started_at=1.0),), 2.1)
-    assert brain.workers[b"a"].slow_start.tokens < 0.0 and brain.workers[b"a"].out == 2
+    assert brain.workers[b"a"].slow_start.tokens < 0.0 and brain.workers[b"a"].outstanding == 2
 
 
 def test_a_ready_line_without_a_start_does_not_make_a_cold_server_warm() -> None:
@@ -188,8 +188,8 @@
     brain = Brain(settings, 1, 0.0)
     brain.on_list(ListKind.FULL, (Entry(b"a", State.READY), Entry(b"cold", State.READY, started_at=9.0)), 9.0)
     for _ in range(200):
-        brain.runs[0].see(log(MEAN), 9.0)
-    brain.workers[b"cold"].size = float(SLOTS)
+        brain.run_times[0].observe(log(MEAN), 9.0)
+    brain.workers[b"cold"].slots = float(SLOTS)
     brain.admitted.add(10_000.0, 0.07, 9.0)
     allowed = FACTOR * COLD_FROM * SLOTS / MEAN * SPAN
     both = 2 * brain._slow_start_rate(brain.workers[b"cold"], COLD_FROM, 9.0) * SPAN
--- a/thistleshore/contracts/pool.py
+++ b/thistleshore/contracts/pool.py
@@ -21,7 +21,7 @@
     """Slots by service, as far as seen; 0 where nothing is known."""
     found = [0.0] * services
     for worker in _counted(workers, services, now):
-        found[worker.entry.kind] += max(worker.size, float(worker.out))
+        found[worker.entry.kind] += max(worker.slots, float(worker.outstanding))
     return found
 
 
@@ -29,6 +29,6 @@
     """Those of the slots that are free, as far as reports and own attempts tell; less than 0 where attempts wait."""
     found = [0.0] * services
     for worker in _counted(workers, services, now):
-        held = min(worker.size, worker.room) if now < worker.report_until else worker.size
-        found[worker.entry.kind] += held - worker.out
+        held = min(worker.slots, worker.reported_free) if now < worker.report_until else worker.slots
+        found[worker.entry.kind] += held - worker.outstanding
     return found
--- a/thistleshore/core/broker.py
+++ b/thistleshore/core/broker.py
@@ -18,7 +18,7 @@
 from oxbowarch.brain import Brain
 from oxbowarch.interface import NEVER_RAN, Action, Cancel, Fail, Log, ListKind, Outcome, Refuse, Request
 from oxbowarch.interface import Send, State, Status, SendNotes, Timer, Watch
-from oxbowarch.notes import Notebook
+from oxbowarch.notes import NoteCodec
 from thistleshore.core import model
 from thistleshore.core.figures import ProcessFigures
 from thistleshore.core.host_log import HostLog
@@ -51,7 +51,7 @@
         self.exchange: Exchange | None = None
         self.exchange_datagram_counts: Counter[str] = Counter()  # datagrams of the lease exchange, by outcome
         self.carriers: dict[type, model.UpstreamFront] = {}  # by the type of a host's address
-        self.notebook = Notebook()
+        self.notebook = NoteCodec()
         self.on_attempt: Callable[[model.UpstreamRequest, Status, float], None] | None = (
             None  # called when an attempt ends
         )
@@ -64,7 +64,7 @@
         self.version: int | None = None  # of the discovery list that `hosts` was read from
         self.hosts_listed = trio.Event()  # set once the module has a list of upstream hosts
         self.event_counts: Counter[str] = Counter()
-        self.host_log = HostLog(brain.set.cold_span)
+        self.host_log = HostLog(brain.settings.cold_span)
         self._streams: dict[int, model.Stream] = {}
         # Upstream requests of each stream, by attempt number, and how many of them have not ended.
         self._attempts: dict[int, list[model.UpstreamRequest]] = {}
@@ -294,7 +294,7 @@
         self.exchange.on_demand(self.ledger.demands(now))
         # A host that connects to us serves only this instance; peers need to know only about hosts that we connect to.
         in_flight = {
-            host.id: self.brain.workers[host.id].out
+            host.id: self.brain.workers[host.id].outstanding
             for host in self.hosts.values()
             if isinstance(host.address, tuple) and host.id in self.brain.workers
         }
@@ -306,7 +306,9 @@
         actions: list[Action] = []
         if self.exchange is not None and self.exchange.on_datagram(data, now):
             for name, worker in self.brain.workers.items():
-                report = self.exchange.report(name, worker.size, worker.out, now) if name in self.hosts else None
+                report = (
+                    self.exchange.report(name, worker.slots, worker.outstanding, now) if name in self.hosts else None
+                )
                 if report is not None:
                     actions += self.brain.on_report(name, report, now)
         return actions
@@ -342,7 +344,7 @@
         self.host_log.log_finished_first_windows(now)
         self.host_log.on_hosts(previous, self.hosts.values(), now)
         entries = tuple(line.entry for line in event.lines)
-        self.notebook.list_names(entries, event.kind is not ListKind.CHANGES)
+        self.notebook.set_workers(entries, event.kind is not ListKind.CHANGES)
         actions = self.brain.on_list(event.kind, entries, now)
         # Drop hosts that are gone, or memory would grow with every deploy; the module keeps its own records.
         self.hosts = {name: host for name, host in self.hosts.items() if host.entry.state is not State.GONE}
--- a/thistleshore/platform/peers.py
+++ b/thistleshore/platform/peers.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from oxbowarch.notes import BYTES_MOST
+from oxbowarch.notes import MAX_DATAGRAM_BYTES
 from thistleshore.core.model import Event, NotesReceived
 
 log = logging.getLogger("thistleshore")
@@ -68,7 +68,7 @@
                 try:
                     with trio.CancelScope() as self._hearing:
                         # One byte more than is allowed, so that what is longer is seen to be.
-                        data, sender = await incoming.recvfrom(BYTES_MOST + 1)
+                        data, sender = await incoming.recvfrom(MAX_DATAGRAM_BYTES + 1)
                     if self._hearing.cancelled_caught:
                         continue
                 except OSError:  # the network's answer to a datagram of ours: a peer is down
--- a/thistleshore/restart/handover_state.py
+++ b/thistleshore/restart/handover_state.py
@@ -12,7 +12,7 @@
 from oxbowarch import handover
 from oxbowarch.brain import Brain
 from oxbowarch.interface import ListKind, State
-from oxbowarch.notes import NUMBERS
+from oxbowarch.notes import SEQUENCE_NUMBERS
 from thistleshore.addresses import address_text
 from thistleshore.config import Plan
 from thistleshore.core.broker import Broker
@@ -68,7 +68,7 @@
     try:
         seq, _, lines = read_hosts(inherited.values["list"], http.names, at_epoch(plan.epoch))
         brain.on_list(ListKind.CACHED, tuple(line.entry for line in lines), now)
-        handover.give(brain, inherited.values["memory"], plan.class_names, http.routes.tenants or {}, now)
+        handover.restore_state(brain, inherited.values["memory"], plan.class_names, http.routes.tenants or {}, now)
     except MALFORMED_STATE as problem:
         log.warning("nothing inherited, starting cold: %s: %s", type(problem).__name__, problem)
         return None
@@ -128,7 +128,7 @@
                 "whole": True,
                 "hosts": hosts,
             },
-            "memory": handover.take(self.broker.brain, self.plan.class_names, http.routes.tenants or {}, now),
+            "memory": handover.export_state(self.broker.brain, self.plan.class_names, http.routes.tenants or {}, now),
             "names": self.downstream.known_names(),
             "number": self.broker.notebook.number,
             "held": [self.downstream.gate.connections, self.upstreams.open],
@@ -164,7 +164,7 @@
         if settings.budget is not None:
             # What is free in any span of time is the next process's now: together they must not spend it twice.
             if aside:
-                handover.step_aside(self.broker.brain)
+                handover.clear_quotas(self.broker.brain)
                 settings = replace(settings, budget=settings.budget._replace(free=0.0))
             self.broker.post(SettingsChanged(settings, self.plan.class_names))
 
@@ -204,7 +204,7 @@
         if isinstance(names, list):
             self.downstream.know_names([name for name in names if isinstance(name, str)])
         if isinstance(number, int):
-            self.broker.notebook.number = number % NUMBERS
+            self.broker.notebook.number = number % SEQUENCE_NUMBERS
 
     async def live_beside(self, inherited: Inherited, serving: trio.Event) -> None:
         """Keep to what the process before leaves of the means until it is gone."""
--- a/thistleshore/wiring/releases.py
+++ b/thistleshore/wiring/releases.py
@@ -50,7 +50,7 @@
     def is_clear(self, host: str) -> bool:
         """Whether nothing that this process has sent is left at the host."""
         worker = self.broker.brain.workers.get(host.encode())
-        return worker is None or not worker.out
+        return worker is None or not worker.outstanding
 
 
 def join(components: Components) -> None:
