--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -176,7 +176,7 @@
         excess, flood = self._excess(request.tenant, request.repeat, now)
         pressure = self._ramp(places, *PRESSURE)
         if flood:
-            # Where workers queue, busy slots show a flood too late.  Lateness has other causes: only a flood pays.
+            # Where workers queue, busy slots show a flood too late.  Other causes of lateness cost nobody.
             pressure = min(1.0, pressure + self.late.mean() / LATE_SHARE)
         if self.under_pressure != (pressure > (0.0 if self.under_pressure else 0.5)):
             self.under_pressure = not self.under_pressure
