--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -20,7 +20,7 @@
 
 from oxbowarch.brain import Brain
 from oxbowarch.interface import Effect, Entry, JobClass, ListKind, Settings, State, Status
-from oxbowarch.notes import Notebook
+from oxbowarch.notes import NoteCodec
 from tests.standins import Http, Told
 from tests.support import ROOT, Lines, free_port, listening, play, program, read_all, socket_pair
 from tests.test_config import PLATFORM
@@ -145,11 +145,11 @@
         return (await carried(pool, request_to(host))).status
 
     found, seen = play(with_host, scenario, [FULL])
-    assert found is Status.MOOT and not seen
+    assert found is Status.NOT_SENT and not seen
 
 
 @pytest.mark.parametrize(
-    ("problem", "status"), [(errno.EMFILE, Status.MOOT), (errno.ECONNREFUSED, Status.CONNECT_FAILED)]
+    ("problem", "status"), [(errno.EMFILE, Status.NOT_SENT), (errno.ECONNREFUSED, Status.CONNECT_FAILED)]
 )
 def test_no_socket_left_is_no_fault_of_the_host(monkeypatch: pytest.MonkeyPatch, problem: int, status: Status) -> None:
     async def fail(address: object) -> trio.SocketStream:
@@ -184,7 +184,7 @@
         pool.open = pool.ways.sockets_most  # all in use
         return [(await carried(pool, request_to(host))).status]
 
-    assert play(with_host, scenario, [FULL])[0] == [Status.MOOT]
+    assert play(with_host, scenario, [FULL])[0] == [Status.NOT_SENT]
 
 
 def test_datagrams_of_strangers_and_of_the_wrong_size_change_nothing() -> None:
@@ -213,7 +213,7 @@
     found, counts = trio.run(scenario)
     assert found == [model.NotesReceived(1, b"x" * 257), model.NotesReceived(1, b"good")]
     assert counts == {"stranger": 1, "heard": 2, "told": 2}
-    assert Notebook().read(1, found[0].data, 0.0) == ()  # type: ignore[union-attr]
+    assert NoteCodec().read(1, found[0].data, 0.0) == ()  # type: ignore[union-attr]
 
 
 def test_of_two_processes_on_one_datagram_socket_the_one_that_leaves_neither_hears_nor_tells() -> None:
