--- a/thistleshore/configuration/__init__.py
+++ b/thistleshore/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration that the fleet agrees on: what the register holds of it, and how an instance puts it in force.
+"""Configuration agreed on by the fleet: its versions in the register, and how an instance puts them in force.
 
-`thistleshore.distribution` is the protocol by which versions spread, with no socket and no disk.
+`thistleshore.distribution` is the sans-I/O protocol that spreads the versions.
 """
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -1,6 +1,6 @@
-"""Applying versions at one instance: checked with its own file, made durable, put in force.  One at a time.
+"""Applies versions on one instance, one at a time: checks each with its own file, makes it durable, puts it in force.
 
-Whatever fails leaves the version before in force, whole.
+If any step fails, the previous version stays in force unchanged.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class NotApplied(Exception):
-    """A version that cannot be put in force at this instance."""
+    """A version that cannot be put in force on this instance."""
 
     def __init__(self, *problems: str) -> None:
         super().__init__("; ".join(problems))
@@ -33,12 +33,12 @@
 
     @property
     def reason(self) -> str:
-        """As it is reported to the fleet: the first line of each problem."""
+        """The reason reported to the fleet: the first line of each problem."""
         return "; ".join(problem.partition("\n")[0] for problem in self.problems)[:MAX_REASON_CHARS]
 
 
 class NotDurable(NotApplied):
-    """The disk took nothing."""
+    """The version could not be written to disk."""
 
 
 class StoredVersion(NamedTuple):
@@ -49,46 +49,44 @@
 
 
 class Checked(NamedTuple):
-    """What a body comes to at this instance."""
+    """A body checked with this instance's own file."""
 
-    plan: Plan  # of the own file with the body's tables; `told` is that of the own file
-    hosts: bool  # whether the body says which upstream hosts there are
+    plan: Plan  # the own file with the body's tables; `told` is that of the own file
+    hosts: bool  # whether the body lists upstream hosts
 
 
 ActivatePlan = Callable[[Plan, Sequence[HostLine] | None], None]
 
 
 class Applier:
-    """Knows the own file, and the version that is laid over it."""
+    """Combines the instance's own file with the version in force."""
 
     def __init__(self, store: VersionStore, file: Plan) -> None:
-        """`file` is the plan of the own file alone."""
+        """`file` is the plan of the own file without any version."""
         self.store = store
         self.in_force: StoredVersion | None = None
-        self.activate: ActivatePlan | None = (
-            None  # puts a plan, and hosts where they are told, in force in the running process
-        )
-        self.on_file_reloaded: Callable[[], None] | None = None  # called when another reading of the file is taken
-        self._file = file  # as it was last put in force
-        self._keeps_shares: bool | None = None  # what the running process cannot change; None while it starts
-        self.startup_problems = 0  # versions on the disk that could not be used
-        self.hosts_from_version = False  # whether the hosts in force are those of a version
+        self.activate: ActivatePlan | None = None  # puts a plan, and hosts unless None, in force
+        self.on_file_reloaded: Callable[[], None] | None = None  # called after a reloaded file is accepted
+        self._file = file  # the reading last put in force
+        self._keeps_shares: bool | None = None  # cannot change without a restart; None during the start
+        self.startup_problems = 0  # versions on disk that could not be used
+        self.hosts_from_version = False  # whether the hosts in force come from a version
         self._turn = trio.Lock()
 
-    # -- the start
+    # -- start
 
     def start(self) -> Plan:
-        """The plan to start on: the version on the disk over the own file, or the own file alone where that fails."""
+        """Return the initial plan: the version on disk over the own file, or the own file alone if that fails."""
         plan = self._file
         try:
             held = self._read()
             if held is not None:
                 checked = self._check(held.body)
                 plan, self.in_force, self.hosts_from_version = checked.plan, held, checked.hosts
-                log.info("configuration: started on version %d of the disk", held.stamp.number)
+                log.info("configuration: started on version %d from disk", held.stamp.number)
         except (StoreError, NotApplied) as problem:
             self.startup_problems += 1
-            log.error("configuration: the version on the disk is not used, this instance's own file is: %s", problem)
+            log.error("configuration: the version on disk is ignored and only the own file is used: %s", problem)
         self._keeps_shares = plan.agreements is not None
         return plan
 
@@ -97,23 +95,23 @@
         return None if found is None else StoredVersion(*found)
 
     async def held(self) -> StoredVersion | None:
-        """The version on the disk; None where there is none that can be used."""
+        """Return the version on disk, or None if there is no usable one."""
         try:
             return await trio.to_thread.run_sync(self._read)
         except StoreError as problem:
             log.warning("configuration: %s", problem)
             return None
 
-    # -- while it runs
+    # -- running
 
     async def check(self, body: bytes) -> Checked:
-        """What a body comes to here; NotApplied with all that is wrong with it."""
-        # A thousand rules take a third of a second to compile: streams must not wait for that.
+        """Check a body with the own file; raise NotApplied with all its problems."""
+        # Compiling a thousand rules takes a third of a second, so a thread does it: streams must not wait.
         async with self._turn:
             return await trio.to_thread.run_sync(self._check, body)
 
     async def apply(self, stamp: Stamp, body: bytes) -> None:
-        """Put a version in force; NotApplied where the one before stays."""
+        """Put a version in force, or raise NotApplied and leave the previous one in force."""
         if stamp.format > FORMAT:
             raise NotApplied(f"its body has format {stamp.format}, and this program reads {FORMAT}")
         async with self._turn:
@@ -126,9 +124,9 @@
             point("configuration-in-force")
 
     async def reload_file(self, file: Plan) -> Plan | None:
-        """The plan of the own file, read again, with the version in force laid over it; the caller puts it in force.
+        """Return the plan of the reloaded own file with the version in force over it; the caller puts it in force.
 
-        None, and a line in the log, where they do not go together: then the former reading counts on.
+        If they conflict, log it, return None and keep the previous reading.
         """
         async with self._turn:
             found = file
@@ -154,11 +152,11 @@
         hosts = HOSTS in parsed.tables
         if problems := self._obstacles(file, found, hosts):
             raise NotApplied(*problems)
-        # What the file says for itself stays to be compared with other readings of it.
+        # `told` and `seed` stay those of the file, as they are compared with later readings of it.
         return Checked(replace(found, told=file.told, seed=file.seed), hosts)
 
     def _obstacles(self, file: Plan, found: Plan, hosts: bool) -> list[str]:
-        """What a sound plan asks for and this process cannot do."""
+        """Return why this process cannot put a valid plan in force."""
         problems = []
         if hosts and file.http is not None and file.http.discovery is not None:
             problems.append(f"{HOSTS}: this instance has its hosts from [discovery]")
@@ -175,7 +173,7 @@
 
     def _put_in_force(self, checked: Checked) -> None:
         assert self.activate is not None
-        # A version without hosts gives the file's back, where the one before had some.
+        # A version without hosts restores those of the file if the previous version had some.
         tell_hosts = checked.hosts or self.hosts_from_version
         self.activate(checked.plan, checked.plan.known if tell_hosts else None)
         self.hosts_from_version = checked.hosts
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -1,4 +1,4 @@
-"""One process's part in the distribution: the task that owns the machine, and the one that applies versions."""
+"""Runs the distribution in one process: one task owns the state machine, another applies versions."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 log = logging.getLogger("thistleshore")
 
-WAITING_MOST = 512  # datagrams that wait for the machine; beyond that they are dropped and counted
-REST = 0.002  # s, the least between two calls of the machine's time
-BODY_RETRY = 0.5  # s before another voter is asked for a body that none has given
-DISK_RETRY = 10.0  # s before a version that the disk did not take is tried again
-VIEW_REST = 0.05  # s between two looks at a view that changes
-SPREAD_LOOK = 0.05  # s between two looks at the reports that have come
+WAITING_MOST = 512  # queued datagrams; further ones are dropped and counted
+REST = 0.002  # seconds, the minimum between two timer calls of the machine
+BODY_RETRY = 0.5  # seconds between attempts to fetch a body that no voter returned
+DISK_RETRY = 10.0  # seconds before a version that could not be written to disk is retried
+VIEW_REST = 0.05  # seconds, the minimum between two updates of the view
+SPREAD_LOOK = 0.05  # seconds between two checks of the received reports
 
 
 # -- events for the task that owns the machine
@@ -42,11 +42,11 @@
 
 
 class ViewChanged(NamedTuple):
-    """The members of the fleet are others, or in another state."""
+    """The members of the fleet or their states have changed."""
 
 
 class Agreed(NamedTuple):
-    """The register holds this version; `body` where this instance has it."""
+    """The register holds this version; `body` is None if this instance does not have it."""
 
     stamp: Stamp
     body: bytes | None
@@ -62,14 +62,14 @@
 
 
 class SpreadAsked(NamedTuple):
-    """An operator wants to know how far the fleet is."""
+    """An operator requests the spread of a version."""
 
 
 Event = Datagram | ViewChanged | Agreed | Applied | Refused | SpreadAsked
 
 
 class Distribution:
-    """Feeds the machine, and carries out what it asks for."""
+    """Feeds events to the state machine, and performs the actions that it returns."""
 
     def __init__(self, settings: ProtocolSettings, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
         self.fleet, self.releases, self.applier = fleet, releases, applier
@@ -89,54 +89,54 @@
         self._applies, self._to_apply = trio.open_memory_channel[Apply](inf)
         self._agreed, self._to_learn = trio.open_memory_channel[Stamp](inf)
         self._newest_agreed: Stamp | None = None
-        self._unfinished: Apply | None = None  # what is being applied, or was when this process stepped aside
+        self._unfinished: Apply | None = None  # being applied, or interrupted when this process stepped aside
         self._last_refused: Apply | None = None
-        self._disk_failed = False  # what was refused may be taken once the disk has room
+        self._disk_failed = False  # the last refusal was a write error, which may be temporary
         self._aside = Aside()
         releases.on_agreed = self.on_register_value
         applier.on_file_reloaded = self.on_file_reloaded
 
-    # -- what others tell it; none of these waits
+    # -- notifications; none of these blocks
 
     def on_datagram(self, data: bytes, sender: Address) -> None:
-        """A datagram of the distribution has come in on the fleet's socket."""
+        """Queue a distribution datagram received on the fleet's socket."""
         if self._events.statistics().current_buffer_used >= WAITING_MOST:
             self.machine.counts["flood"] += 1
         else:
             self._events.send_nowait(Datagram(data, sender))
 
     def on_register_value(self, value: Value) -> None:
-        """A majority of the voters holds this value of the register."""
+        """Handle a register value that a majority of the voters holds."""
         stamp = agreement.stamp(value, self.releases.register)
         if stamp == self.machine.applied:
-            self.serving_from = "fleet"  # what the disk had is what the fleet agrees on
+            self.serving_from = "fleet"  # the version read from disk is the one agreed on
         if stamp.number and stamp != self._newest_agreed:
             self._newest_agreed = stamp
             self._agreed.send_nowait(stamp)
 
     def on_pushed(self, stamp: Stamp, body: bytes) -> None:
-        """A push of this instance is agreed: it is offered at once."""
+        """Handle an agreed push made through this instance: offer it at once."""
         self._events.send_nowait(Agreed(stamp, body))
 
     def on_file_reloaded(self) -> None:
-        """The instance's own file was read again: what did not go with the former one may go with it."""
+        """Retry the last refused version after the own file was reloaded, as it may fit now."""
         if self._last_refused is not None:
             self._applies.send_nowait(self._last_refused)
 
     def step_aside(self, aside: bool) -> None:
-        """The next process of a hot restart takes part in this one's place; or it has gone."""
+        """Pause while the successor of a hot restart takes part instead; resume if it has gone."""
         self._aside.turn(aside)
 
-    # -- what operators are told
+    # -- status
 
     @property
     def newest(self) -> Stamp:
-        """The newest version that is known here."""
+        """The newest version known on this instance."""
         agreed = self._newest_agreed
         return agreed if agreed is not None and agreed.number > self.machine.known.number else self.machine.known
 
     async def spread(self, number: int, within: float) -> Spread:
-        """How far the fleet is with a version, by what the zone relays answer in that time."""
+        """Return how far a version has spread, by the answers of the zone relays within `within` seconds."""
         self._events.send_nowait(SpreadAsked())
         until = trio.current_time() + within
         await trio.sleep(min(within, SPREAD_LOOK))
@@ -149,7 +149,7 @@
     # -- tasks
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled."""
+        """Run until cancelled."""
         task_status.started()
         await self._aside.run(self._take_part)
 
@@ -167,20 +167,20 @@
             nursery.start_soon(self._apply_in_turn)
 
     async def _follow_disk(self) -> None:
-        """Put in force what the next process of a hot restart has left on the disk, before anything is reported."""
+        """Apply the version that a successor of a hot restart left on disk, before any report is sent."""
         held = await self.applier.held()
         if held is not None:
             await self._apply(Apply(held.stamp, held.body))
 
     async def _own(self) -> None:
-        """The one task that calls the machine."""
+        """Run the only task that calls the machine."""
         machine = self.machine
         while True:
             event = None
             with trio.move_on_at(max(machine.due, trio.current_time() + REST)):
                 event = await self._inbox.receive()
             now = trio.current_time()
-            # Time first: whoever was stopped has to know it before it takes in what was said meanwhile.
+            # Timers first: after a pause, the machine has to detect it before it handles queued datagrams.
             if now >= machine.due:
                 await self._carry_out(machine.on_time(now))
             if event is not None:
@@ -213,7 +213,7 @@
                 log.info("configuration: %s %s", action.kind, action.detail)
 
     async def _watch_view(self) -> None:
-        """Tell the machine of a changed view; of many changes at once, once."""
+        """Notify the machine of view changes, coalescing bursts."""
         changes = self.fleet.subscribe()
         try:
             async for _ in changes:
@@ -225,7 +225,7 @@
             self.fleet.unsubscribe(changes)
 
     async def _learn(self) -> None:
-        """A voter tells the machine of each agreed version, with its body; all others hear of it from their relays."""
+        """On a voter, pass each agreed version with its body to the machine; others learn of it from their relays."""
         async for stamp in self._to_learn:
             if self.releases.voter is None:
                 continue
@@ -234,7 +234,7 @@
                 self._events.send_nowait(Agreed(stamp, body))
 
     async def _body_of(self, stamp: Stamp) -> bytes | None:
-        """The body of an agreed version from this voter's disk or another's; None once a newer one is agreed."""
+        """Return the body of an agreed version from any voter's disk, or None once a newer one is agreed."""
         while stamp == self._newest_agreed:
             body = await self.releases.fetch_body(stamp.digest)
             if body is not None and digest_of(body) == stamp.digest:
@@ -245,7 +245,7 @@
     # -- applying
 
     async def _apply_in_turn(self) -> None:
-        """Apply what waits, one version at a time; a version that met a full disk again after a while."""
+        """Apply queued versions one at a time; retry one that could not be written after DISK_RETRY."""
         while True:
             action = None
             with trio.move_on_after(DISK_RETRY):
@@ -256,10 +256,10 @@
                 await self._apply(action)
 
     async def _apply(self, action: Apply) -> None:
-        """Put a version in force, and tell the machine what came of it."""
+        """Put a version in force, and report the result to the machine."""
         stamp, in_force = action.stamp, self.applier.in_force
         if in_force is not None and stamp.number <= in_force.stamp.number:
-            return  # numbers never go down
+            return  # version numbers never decrease
         self._unfinished = action
         try:
             await self.applier.apply(stamp, action.body)
@@ -276,11 +276,11 @@
 
 
 def peer_of(record: Record) -> Peer:
-    """A member of the view as the machine knows it."""
+    """Convert a member record of the view for the machine."""
     return Peer(record.name, record.address, record.zone, record.generation, record.state == State.ALIVE)
 
 
 def peers_of(fleet: FleetCarrier) -> list[Peer]:
-    """All other members that the view knows and that have not left."""
+    """Return all other members of the view that have not left."""
     records = (member.record for member in fleet.machine.members.values())
     return [peer_of(record) for record in records if record.state != State.LEFT]
--- a/thistleshore/distribution/__init__.py
+++ b/thistleshore/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How versions of the agreed configuration spread: the protocol, with no socket, no disk and no clock."""
+"""Sans-I/O protocol that spreads versions of the agreed configuration; it uses no socket, disk or clock."""
--- a/thistleshore/distribution/bodies.py
+++ b/thistleshore/distribution/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that are kept in the memory, and how they are compressed for the wire: whole, or as a difference."""
+"""In-memory cache of bodies, and their compression for the wire: whole, or as a delta to an earlier body."""
 
 from __future__ import annotations
 
@@ -9,36 +9,39 @@
 
 from thistleshore.distribution.model import MAX_BODY_BYTES, NO_VERSION, Stamp, digest_of
 
-LEVEL = 3  # of the compression
+LEVEL = 3  # Zstandard compression level
 ENCODINGS_KEPT = 8
-ENCODED_SLACK = 1024  # bytes by which a compressed body may be longer than the body
+ENCODED_SLACK = 1024  # bytes by which an encoded body may exceed the body
 
 
 class Mismatch(Exception):
-    """What came is not the body of the version."""
+    """The received data does not decode to the body of the version."""
 
 
 class Encoding(NamedTuple):
-    """A body as it is sent."""
+    """A body as encoded for the wire."""
 
-    base: int  # the version that it is a difference to; 0: whole
+    base: int  # the version that it is a delta to; 0: whole
     data: bytes
 
 
 def encoded_most(stamp: Stamp) -> int:
-    """The most bytes that the body of a version may take on the wire."""
+    """Return the maximum encoded size of a version's body, in bytes."""
     return stamp.size + ENCODED_SLACK
 
 
 def encode(body: bytes, base: bytes | None) -> bytes:
-    """Compress a body, as a difference where there is a base."""
+    """Compress a body, as a delta if a base is given."""
     if not base:
         return zstandard.ZstdCompressor(level=LEVEL).compress(body)
     return zstandard.ZstdCompressor(level=LEVEL, dict_data=_dictionary(base)).compress(body)
 
 
 def decode(data: bytes, base: bytes | None, stamp: Stamp) -> bytes:
-    """The body of a version from what was sent, checked; nothing is allocated beyond its size."""
+    """Decode and verify the body of a version, without allocating more than its size.
+
+    Raises Mismatch if the size, the compression or the digest is wrong.
+    """
     if stamp.size > MAX_BODY_BYTES or len(data) > encoded_most(stamp):
         raise Mismatch("size")
     try:
@@ -55,7 +58,7 @@
 
 
 def fits(stamp: Stamp, body: bytes) -> bool:
-    """Whether this is the body of the version."""
+    """Return whether the body matches the size and digest of the version."""
     return len(body) == stamp.size and digest_of(body) == stamp.digest
 
 
@@ -64,17 +67,17 @@
 
 
 class Bodies:
-    """The newest bodies that were checked, and the one in force; a cache, except for the latter."""
+    """Verified bodies in memory: the newest few, and always the one in force."""
 
     def __init__(self, most: int) -> None:
-        """`most` bodies are kept, and that in force."""
+        """`most` is how many of the newest bodies are kept besides the one in force."""
         self._most = most
         self._kept: dict[int, tuple[Stamp, bytes]] = {}
         self._encodings: OrderedDict[tuple[int, int], Encoding] = OrderedDict()
-        self.newest: Stamp = NO_VERSION  # of those kept
+        self.newest: Stamp = NO_VERSION  # the version added last
 
     def add(self, stamp: Stamp, body: bytes, in_force: int) -> None:
-        """Keep a checked body; the oldest beyond the bound goes, unless it is in force."""
+        """Add a verified body, and evict the oldest ones beyond the limit unless in force."""
         self._kept[stamp.number] = (stamp, body)
         for number in sorted(self._kept)[: -self._most]:
             if number not in (in_force, stamp.number):
@@ -82,16 +85,16 @@
         self.newest = stamp
 
     def get(self, number: int) -> tuple[Stamp, bytes] | None:
-        """A kept version with its body."""
+        """Return a version with its body, or None if it is not in memory."""
         return self._kept.get(number)
 
     def has(self, number: int, digest: str) -> bool:
-        """Whether the body of that version with that digest is kept."""
+        """Return whether the body of that version with that digest is in memory."""
         found = self._kept.get(number)
         return found is not None and found[0].digest == digest
 
     def encoding(self, number: int, base: int) -> Encoding:
-        """The kept version as it is sent to one that has the base; whole where `base` is 0."""
+        """Return the cached encoding of a version as a delta to `base`, or whole if `base` is 0."""
         key = (number, base)
         if (found := self._encodings.get(key)) is not None:
             self._encodings.move_to_end(key)
--- a/thistleshore/distribution/machine.py
+++ b/thistleshore/distribution/machine.py
@@ -1,16 +1,16 @@
-"""One instance's side of the distribution of configuration, with no socket, no disk and no clock.
+"""State machine for one instance's part in distributing configuration; it uses no socket, disk or clock.
 
-Every public method takes the time (seconds of a monotonic clock), changes the state and returns actions; none waits.
-`due` is when `on_time` wants to be called next.
+Every public method takes the time (seconds of a monotonic clock), updates the state and returns actions; none blocks.
+`due` is the time at which `on_time` has to be called next.
 
-A version passes through these stages here:
+A version passes through these stages on an instance:
 
-    known      the register agreed on it, or another instance that holds its body told of it
-    held       its body was fetched, or came with the register's word, and fits the digest; it is offered to the
-               children in the tree from now on
-    applied    the carrier said that it is durable and in force; only now it is reported
+    known      the register agreed on it, or another instance announced that it has the body
+    held       its body was fetched or came from the register, and matches the digest; from now on it is offered to
+               the children in the tree
+    applied    the carrier confirmed that it is durable and in force; only now is it reported
 
-Each stage only goes up in numbers.  One version is applied at a time, and the newest that is held is the next.
+Version numbers never decrease in any stage.  One version is applied at a time; the newest held one is next.
 """
 
 from __future__ import annotations
@@ -43,18 +43,18 @@
 from thistleshore.distribution.transfer import Fetching, Serving, Source, Taken
 from thistleshore.distribution.tree import Tree
 
-JITTER_LEAST, JITTER_SPAN = 0.75, 0.5  # of `report_interval`: times between reports go from 0.75 to 1.25 of it
-WAIT_LEAST = 0.25  # of `max_wait`, for one whose relays did not answer
-SOURCES_MOST = 4  # of those that told of the newest version
+JITTER_LEAST, JITTER_SPAN = 0.75, 0.5  # fractions of `report_interval`: the interval is 0.75 to 1.25 times it
+WAIT_LEAST = 0.25  # fraction of `max_wait`: the shortest wait after no parent or source answered
+SOURCES_MOST = 4  # remembered instances that have the newest known version
 TRANSFER_BITS = 48
-STALL_LEAST = 0.5  # s by which a call of `on_time` may be late; whoever is later was stopped
-BACKLOG_READ = 0.2  # s after a stop for which what is read had waited in the socket
+STALL_LEAST = 0.5  # seconds; if `on_time` is called later than this, the process was paused
+BACKLOG_READ = 0.2  # seconds after a pause during which datagrams read are assumed to have queued in the socket
 
 
 class Distributor:
-    """What one instance knows of agreed versions, and how it passes them on.
+    """What one instance knows of agreed versions, and how it forwards them.
 
-    The owner may replace `local_peer` (another life, another address) before it calls `on_view`.
+    The owner may replace `local_peer` (new generation or address) before calling `on_view`.
     """
 
     def __init__(
@@ -67,14 +67,14 @@
         seed: int = 0,
         stored: tuple[Stamp, bytes] | None = None,
     ) -> None:
-        """`stored` is the version that is in force here, from the disk."""
+        """`stored` is the version in force on this instance, read from disk."""
         self.fleet, self.local_peer, self.voters, self.settings = fleet, local_peer, voters, settings
         self.applied: Stamp = stored[0] if stored is not None else NO_VERSION
         self.known: Stamp = self.applied
         self.counts: Counter[str] = Counter()
         self._random = randoms.Random(
             f"{seed} {local_peer.name} {local_peer.generation}"
-        )  # never in step with another instance
+        )  # so that instances do not synchronize
         self._peers: dict[str, Peer] = {}
         self._tree = Tree(local_peer, {}, voters)
         self._bodies = Bodies(settings.retained_bodies)
@@ -84,17 +84,17 @@
         self._serving = Serving(self._bodies, settings, self._room)
         self._applying: Stamp | None = None
         self._refused, self._reason = 0, ""
-        self._agreed: Stamp = self.applied  # the newest by the word of the register itself
-        self._sources: list[Source] = []  # that told of `known`, the latest first
+        self._agreed: Stamp = self.applied  # the newest version confirmed by the register itself
+        self._sources: list[Source] = []  # instances that announced `known`, the latest first
         self._fetching: Fetching | None = None
-        self._fetch_again_at = inf  # after all sources were of no use
+        self._fetch_again_at = inf  # when to retry after all sources failed
         self._report_number = 0
         self._report_at = now + settings.report_interval * self._random.random()
-        self._unasked: Iterator[Peer] = iter(())  # parents for the report, where those before do not answer
+        self._unasked: Iterator[Peer] = iter(())  # remaining parents to try for the current report
         self._answer_due = inf
-        self._noted: dict[str, Stamp] = {}  # the last version of each kind that cannot be put in force here
+        self._noted: dict[str, Stamp] = {}  # last version logged, by why it is unacceptable
         self._last_call = now
-        self._backlog_since, self._backlog_until = now, -inf  # after a stop: what is read came in that time
+        self._backlog_since, self._backlog_until = now, -inf  # after a pause: the period in which datagrams arrived
         self._out: list[Action] = []
         if stored is not None:
             self._bodies.add(*stored, in_force=stored[0].number)
@@ -102,10 +102,10 @@
         self.due: float = inf
         self._done()
 
-    # -- events in -------------------------------------------------------------------------------
+    # -- input events ----------------------------------------------------------------------------
 
     def on_view(self, peers: Iterable[Peer], now: float) -> list[Action]:
-        """The other members have changed; `peers` are all that the view knows, dead ones too until forgotten."""
+        """Handle a membership change; `peers` is the whole view, including dead members not yet forgotten."""
         children = {peer.name for peer in self._tree.children}
         self._peers = {peer.name: peer for peer in peers if peer.name != self.local_peer.name}
         self._tree = Tree(self.local_peer, self._peers, self.voters)
@@ -117,7 +117,7 @@
         return self._done()
 
     def on_agreed(self, stamp: Stamp, body: bytes | None, now: float) -> list[Action]:
-        """The register has agreed on a version; `body` where this instance has it."""
+        """Handle a version agreed on by the register; `body` is None if this instance does not have it."""
         if not self._acceptable(stamp):
             if stamp.size > MAX_BODY_BYTES and stamp.number > self._refused:
                 self._refuse(stamp, f"a body of {stamp.size} bytes is longer than {MAX_BODY_BYTES}", now)
@@ -137,7 +137,7 @@
         return self._done()
 
     def on_datagram(self, data: bytes, sender: Address, now: float) -> list[Action]:
-        """Take a datagram in; what is no datagram of this fleet changes nothing and is counted."""
+        """Handle a datagram; one that is invalid or from another fleet is only counted."""
         self._last_call = now
         self.counts["heard"] += 1
         self.counts["bytes_heard"] += len(data)
@@ -155,7 +155,7 @@
         return self._done()
 
     def on_time(self, now: float) -> list[Action]:
-        """Do what is due; after a stop it is called before anything that has come meanwhile is taken in."""
+        """Run all due timers; after a pause of the process, call this before handling queued input."""
         self._notice_stall(now)
         if now >= self._offers.due:
             self._offer_to(self._offers.on_time(now))
@@ -170,7 +170,7 @@
         return self._done()
 
     def on_applied(self, stamp: Stamp, now: float) -> list[Action]:
-        """The version of an `Apply` is durable and in force."""
+        """Handle the success of an `Apply`: the version is durable and in force."""
         self._applying = None
         if self._newer(stamp, self.applied):
             self.applied = stamp
@@ -183,16 +183,16 @@
         return self._done()
 
     def on_refused(self, stamp: Stamp, reason: str, now: float) -> list[Action]:
-        """The version of an `Apply` could not be put in force; the one before still is."""
+        """Handle the failure of an `Apply`: the previous version is still in force."""
         self._applying = None
         self._refuse(stamp, reason, now)
         self._apply_newest(now)
         return self._done()
 
-    # -- what others in this process ask ---------------------------------------------------------
+    # -- queries from the same process -----------------------------------------------------------
 
     def request_reports(self, now: float) -> list[Action]:
-        """Ask the zone relays of all zones for the fresh reports that they hold."""
+        """Request the fresh reports held by the zone relays of all zones."""
         for relays in self._tree.zone_relays.values():
             for relay in relays:
                 if relay.name != self.local_peer.name:
@@ -200,25 +200,25 @@
         return self._done()
 
     def spread(self, number: int, now: float) -> Spread:
-        """How far the fleet is with a version, by the fresh reports that are known here now."""
+        """Return how far a version has spread, from the fresh reports known on this instance."""
         return self._reports.count(number, self.known.register, self._own_report(now), self.local_peer, now)
 
     def body(self, number: int) -> bytes | None:
-        """The body of a version that is kept here."""
+        """Return the body of a version, or None if it is not in memory."""
         found = self._bodies.get(number)
         return None if found is None else found[1]
 
     # -- time ------------------------------------------------------------------------------------
 
     def _notice_stall(self, now: float) -> None:
-        """A process that was stopped reads what had waited in its socket: such reports are older than they look."""
+        """Detect that the process was paused: reports it then reads from the socket are older than they look."""
         if now - self.due > STALL_LEAST:
             self.counts["stalls"] += 1
             self._backlog_since, self._backlog_until = self._last_call, now + BACKLOG_READ
         self._last_call = now
 
     def _heard_at(self, now: float) -> float:
-        """The time that a report read now counts from: never later than it came."""
+        """Return the receive time to assign to a report read now; never later than its actual arrival."""
         return self._backlog_since if now < self._backlog_until else now
 
     # -- datagrams ---------------------------------------------------------------------------------
@@ -267,7 +267,10 @@
             self._send(source.address, rows)
 
     def _is_stranger(self, source: Source) -> bool:
-        """Whether the sender is not in the view: what is longer than its question is not sent to just any address."""
+        """Return whether the sender is not in the view.
+
+        Replies longer than their request are not sent to unknown addresses, to prevent traffic amplification.
+        """
         if source.name in self._peers:
             return False
         self.counts["stranger"] += 1
@@ -291,11 +294,11 @@
 
     @staticmethod
     def _newer(stamp: Stamp, than: Stamp) -> bool:
-        """Numbers never go down: what is not newer changes nothing."""
+        """Return whether `stamp` has the higher number; version numbers never decrease."""
         return stamp.number > than.number
 
     def _hear(self, stamp: Stamp, source: Source, now: float) -> None:
-        """Another instance holds the body of this version."""
+        """Handle an announcement that another instance has the body of this version."""
         if not stamp.number or not self._acceptable(stamp):
             return
         if self._newer(stamp, self.known):
@@ -309,7 +312,7 @@
             self._fetch_known(now)
 
     def _acceptable(self, stamp: Stamp) -> bool:
-        """Whether a version may be one of this instance's register, by all that is known here."""
+        """Return whether a version is consistent with what is known of this instance's register."""
         register = self.known.register
         if register and stamp.register != register:
             self._count_unacceptable("other_register", stamp)
@@ -325,14 +328,14 @@
         return True
 
     def _count_unacceptable(self, kind: str, stamp: Stamp) -> None:
-        """Count a version that cannot be put in force here; it is noted once, as it may be told of for hours."""
+        """Count an unacceptable version; log it only once, as it may be announced repeatedly for hours."""
         self.counts[kind] += 1
         if self._noted.get(kind) != stamp:
             self._noted[kind] = stamp
             self._note(kind, stamp)
 
     def _hold(self, stamp: Stamp, body: bytes, now: float) -> None:
-        """The body of a version is here, and fits: pass it on and put it in force."""
+        """Store a verified body, offer it to the children and put it in force."""
         self._bodies.add(stamp, body, self.applied.number)
         if self._fetching is not None and self._fetching.stamp.number <= stamp.number:
             self._fetching = None
@@ -378,7 +381,7 @@
         return ReceivedReport(row, self.applied.register, now)
 
     def _report(self, now: float, everywhere: bool) -> None:
-        """Report to the first parent that answers; `everywhere`: to all relays of the zone as well."""
+        """Report to the first parent that answers, and if `everywhere`, to all relays of the zone as well."""
         self._report_number += 1
         self._unasked = self._shuffled_parents()
         first = self._report_to_next(now)
@@ -388,7 +391,7 @@
                     self._send_report(relay, number=0)
 
     def _report_to_next(self, now: float) -> Peer | None:
-        """Report to the next parent, and to whom that was."""
+        """Report to the next parent and return it, or None if none is left."""
         parent = next(self._unasked, None)
         if parent is not None:
             self._answer_due = now + self.settings.answer_timeout
@@ -410,7 +413,7 @@
             yield from self._random.sample(level, len(level))
 
     def _wait_time(self) -> float:
-        """For one that nobody answered: by chance, so that many in the same case do not come at once."""
+        """Return a random wait after nobody answered, so that many such instances do not retry at once."""
         return self.settings.max_wait * (WAIT_LEAST + (1.0 - WAIT_LEAST) * self._random.random())
 
     def _sync_time(self) -> float:
@@ -419,7 +422,7 @@
     # -- fetching ----------------------------------------------------------------------------------
 
     def _fetch_known(self, now: float) -> None:
-        """Fetch the newest known version, unless an earlier one is already coming in."""
+        """Fetch the newest known version, unless parts of an earlier one have already arrived."""
         self._fetch_again_at = inf
         if not self._newer(self.known, self._bodies.newest):
             return
@@ -446,7 +449,10 @@
         self._forget_unheld()
 
     def _forget_unheld(self) -> None:
-        """Nobody has the version that was told of: whoever has it tells again, and a false word does not stay."""
+        """Forget a version that no source could send.
+
+        An instance that has it will announce it again, and a false announcement does not persist.
+        """
         self._sources = []
         held = self._bodies.newest
         self.known = self._agreed if self._newer(self._agreed, held) else held
@@ -489,7 +495,7 @@
             self._hold(fetching.stamp, body, now)
 
     def _on_mismatch(self, fetching: Fetching, now: float) -> None:
-        """The source sent something that is not the body: it is not asked again, and the next for no difference."""
+        """Drop a source that sent a wrong body, and request the whole body from the next instead of a delta."""
         self._count_mismatch(fetching.source.name if fetching.source is not None else "")
         fetching.next_source(whole=True)
         self._request(fetching, now)
--- a/thistleshore/distribution/model.py
+++ b/thistleshore/distribution/model.py
@@ -1,8 +1,8 @@
-"""What one instance knows of the configuration of its fleet: records, named times, and what the machine asks for.
+"""Data types of configuration distribution: versions, members, protocol settings and actions.
 
 A *version* of the configuration is a number that the register of the fleet has agreed on, with the digest of one body.
-Numbers only grow within a register.  The body is the TOML text of the tables that all instances share; what belongs to
-one instance alone (its name, its addresses, its folders) stays in that instance's own file.
+Numbers only increase within a register.  The body is the TOML text of the tables that all instances share; what is
+specific to one instance (its name, addresses and folders) stays in that instance's own file.
 
 Zones are named `REGION/ZONE`; a zone without a slash is a region of its own.
 """
@@ -17,14 +17,14 @@
 from thistleshore.addresses import Address
 
 MAX_BODY_BYTES = 256 * 1024  # bytes of a body
-MAX_REASON_CHARS = 200  # characters of why an instance could not apply a version
-FORMAT = 1  # of bodies; an instance keeps the version before one whose format it does not know
-RELAYS = 2  # living members of a zone, and of a region, that pass versions on
+MAX_REASON_CHARS = 200  # characters of the reason why an instance could not apply a version
+FORMAT = 1  # of bodies; an instance does not apply a version of an unknown format
+RELAYS = 2  # relays per zone, and per region
 DIGEST_BYTES = 16
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True):
-    """One agreed version, without its body."""
+    """Identifies one agreed version, without its body."""
 
     register: int  # the register that agreed on it; 0: none yet
     number: int  # 0: none yet
@@ -37,12 +37,12 @@
 
 
 def digest_of(body: bytes) -> str:
-    """The digest of a body, in hexadecimal."""
+    """Return the digest of a body, in hexadecimal."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 class Peer(NamedTuple):
-    """A member of the fleet as the view has it."""
+    """A fleet member as recorded in the view."""
 
     name: str
     address: Address
@@ -56,81 +56,81 @@
 
 
 def region_of(zone: str) -> str:
-    """The region of a zone."""
+    """Return the region of a zone."""
     return zone.partition("/")[0]
 
 
 class MemberReport(msgspec.Struct, frozen=True, array_like=True):
-    """What one instance last said of itself."""
+    """The state that one instance last reported about itself."""
 
     name: str
     generation: int
-    applied: int  # the version in force there; 0: that of its own file alone
+    applied: int  # the version in force there; 0: only its own file
     refused: int = 0  # a newer version that it could not apply; 0: none
     reason: str = ""  # why
 
 
 class ProtocolSettings(NamedTuple):
-    """The protocol's named times and sizes; times in seconds."""
+    """Intervals, timeouts and limits of the protocol; times in seconds."""
 
     report_interval: float = 3.0  # between two reports of an instance to its relays
-    report_lifetime: float = 7.5  # after which a report no longer counts
-    answer_timeout: float = 0.4  # for an answer, before another relay is asked
-    retries: int = 4  # that an offer is sent again to one that has not acknowledged it
-    max_wait: float = 6.0  # the longest wait by chance of an instance whose relays did not answer
+    report_lifetime: float = 7.5  # age after which a report is ignored
+    answer_timeout: float = 0.4  # wait for an answer before asking another relay
+    retries: int = 4  # of an offer that was not acknowledged
+    max_wait: float = 6.0  # upper bound of the random wait after no relay answered
     max_datagram_bytes: int = 1200  # bytes
-    window: int = 8  # parts of a body that are asked for at once
-    max_transfers: int = 16  # bodies that a relay sends at the same time; others are told when to come back
-    retained_bodies: int = 4  # bodies that are kept in the memory, for differences
+    window: int = 8  # parts of a body requested at once
+    max_transfers: int = 16  # concurrent transfers of a relay; further requesters get `Busy`
+    retained_bodies: int = 4  # bodies kept in memory as bases for deltas
 
 
-# -- actions: what the machine asks its carrier for
+# -- actions that the state machine returns to its carrier
 
 
 class Send(NamedTuple):
-    """A datagram to send."""
+    """Send a datagram."""
 
     address: Address
     data: bytes
 
 
 class Apply(NamedTuple):
-    """Write this version to the disk and put it in force; answered by `on_applied` or `on_refused`."""
+    """Write this version to disk and put it in force; answered by `on_applied` or `on_refused`."""
 
     stamp: Stamp
     body: bytes
 
 
 class LogEvent(NamedTuple):
-    """An event for the log and the counters."""
+    """An event to log."""
 
-    kind: str  # one word, e.g. offered, fetched, spoilt, other_register, too_large
+    kind: str  # one word, e.g. fetched, refused, mismatch, other_register, too_large
     detail: str = ""
 
 
 Action = Send | Apply | LogEvent
 
 
-# -- what operators are told
+# -- status for operators
 
 
 class Zone(msgspec.Struct, frozen=True):
-    """How far one zone is with a version."""
+    """How far a version has spread in one zone."""
 
     zone: str
     members: int
-    applied: int  # have that version or a newer one in force, by their own fresh report
-    behind: tuple[MemberReport, ...]  # fresh reports of an older version
-    unknown: tuple[str, ...]  # no fresh report: dead, cut off, or without this part
+    applied: int  # members whose own fresh report has that version or a newer one in force
+    behind: tuple[MemberReport, ...]  # fresh reports that have an older version in force
+    unknown: tuple[str, ...]  # no fresh report: dead, unreachable, or without `[fleet.configuration]`
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """How far the fleet is with a version, counted from the reports of the instances themselves."""
+    """How far a version has spread in the fleet, counted from the instances' own reports."""
 
     number: int
     zones: tuple[Zone, ...]
 
     @property
     def everywhere(self) -> bool:
-        """Whether every known member has said lately that it has it in force."""
+        """Whether every known member has a fresh report with the version in force."""
         return bool(self.zones) and all(zone.applied == zone.members for zone in self.zones)
--- a/thistleshore/distribution/offers.py
+++ b/thistleshore/distribution/offers.py
@@ -1,4 +1,4 @@
-"""Offers of the newest version to the children in the tree, sent again until they are acknowledged."""
+"""Offers of the newest version to the children in the tree, with retransmission until acknowledged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Offers:
-    """Who has not yet acknowledged the version that is offered."""
+    """Tracks the children that have not yet acknowledged the offered version."""
 
     def __init__(self, settings: ProtocolSettings) -> None:
         self._settings = settings
@@ -19,13 +19,13 @@
         self.due: float = inf
 
     def start(self, stamp: Stamp, children: Iterable[Peer], now: float) -> list[Peer]:
-        """Offer a version in place of any earlier one; whom to send it to now."""
+        """Offer a version in place of any earlier one; return the peers to send it to now."""
         self.stamp = stamp
         self._waiting = {peer.name: peer for peer in children}
         return self._restart(now)
 
     def extend(self, children: Iterable[Peer], now: float) -> list[Peer]:
-        """Offer the same version to new children, too; whom to send it to now."""
+        """Offer the same version to new children as well; return the peers to send it to now."""
         new = list(children)
         if new:
             self._waiting.update((peer.name, peer) for peer in new)
@@ -33,20 +33,20 @@
         return new
 
     def keep_only(self, children: Iterable[Peer]) -> None:
-        """Drop those that are no children any more, and learn the present addresses of the others."""
+        """Drop peers that are no longer children, and update the addresses of the others."""
         self._waiting = {peer.name: peer for peer in children if peer.name in self._waiting}
         if not self._waiting:
             self.due = inf
 
     def on_acknowledge(self, name: str, number: int) -> None:
-        """A child has heard an offer."""
+        """Handle a child's acknowledgement."""
         if number == self.stamp.number:
             self._waiting.pop(name, None)
             if not self._waiting:
                 self.due = inf
 
     def on_time(self, now: float) -> list[Peer]:
-        """Whom to send the offer to again."""
+        """Return the peers to resend the offer to; the delay doubles with each retry."""
         if now < self.due:
             return []
         if self._repeated >= self._settings.retries:
--- a/thistleshore/distribution/plan.py
+++ b/thistleshore/distribution/plan.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of the configuration that the fleet agrees on."""
+"""Settings from the operator's file for following the fleet's agreed configuration."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributionPlan:
-    """How this instance follows the configuration that its fleet agrees on."""
+    """The `[fleet.configuration]` table."""
 
-    folder: str  # of the durable version
+    folder: str  # that holds the durable version
     settings: ProtocolSettings
--- a/thistleshore/distribution/reports.py
+++ b/thistleshore/distribution/reports.py
@@ -1,7 +1,7 @@
-"""The fresh reports of other instances: kept, told to those who ask, and counted.
+"""Reports of other instances: stored, sent on request, and summarized per zone.
 
-Reports of members that say the same are told in short: a token of eight bytes that stands for the member and its life,
-and the age of the report.  Whoever asked finds the member by its own view.
+Identical reports are sent in compact form: an eight-byte token that identifies the member and its generation, and the
+age of the report.  The requester resolves the token with its own view.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A report, and when it was heard here."""
+    """A report with its receive time on this instance."""
 
     row: MemberReport
-    register: int  # that of `row.applied`
+    register: int  # register of `row.applied`
     received_at: float
 
 
 def token_of(name: str, generation: int) -> int:
-    """Stands for one life of a member."""
+    """Return the token that identifies one generation of a member."""
     return xxhash.xxh3_64_intdigest(f"{name}\0{generation}".encode())
 
 
 class Reports:
-    """The last report of each member of the view."""
+    """The latest report of each member of the view."""
 
     def __init__(self, settings: ProtocolSettings) -> None:
         self._settings = settings
         self._peers: Mapping[str, Peer] = {}
-        self._heard: dict[str, ReceivedReport] = {}  # from the members themselves
-        # From others.  Not told on: with each hop a report grows younger by its time on the way, and where many ask one
-        # another it would never grow old.
+        self._heard: dict[str, ReceivedReport] = {}  # received from the members themselves
+        # Received from other instances, and not forwarded: each hop would subtract the transit time from a report's
+        # age, so reports passed around among several instances would never expire.
         self._told: dict[str, ReceivedReport] = {}
-        self._by_token: dict[int, Peer] | None = None  # made when it is needed
+        self._by_token: dict[int, Peer] | None = None  # built on first use
 
     def on_view(self, peers: Mapping[str, Peer]) -> None:
-        """The members have changed: what others said goes."""
+        """Handle a membership change: drop the reports of members no longer in the view."""
         self._peers = peers
         self._heard = {name: heard for name, heard in self._heard.items() if name in peers}
         self._told = {name: heard for name, heard in self._told.items() if name in peers}
         self._by_token = None
 
     def take(self, heard: ReceivedReport) -> bool:
-        """Keep a report of its member; False where that is not in the view, or has said something later."""
+        """Store a member's own report; return False if the member is unknown or a later report is stored."""
         return self._keep(heard, self._heard)
 
     def _keep(self, heard: ReceivedReport, reports: dict[str, ReceivedReport]) -> bool:
@@ -65,7 +65,7 @@
         return True
 
     def take_rows(self, message: ReportBatch, now: float) -> int:
-        """Keep what another instance holds; how many of those reports were of no use."""
+        """Store reports forwarded by another instance; return how many were not usable."""
         useless = len(message.members) % SHORT.size
         whole = len(message.members) - useless
         for token, age in SHORT.iter_unpack(message.members[:whole]):
@@ -80,7 +80,7 @@
         return useless
 
     def tell(self, own: ReceivedReport, room: int, now: float) -> list[ReportBatch]:
-        """All fresh reports of the members themselves, as messages of at most so many bytes beyond their numbers."""
+        """Return all fresh reports received from the members themselves, in payloads of at most `room` bytes."""
         fresh = [own, *(heard for heard in self._heard.values() if self._is_fresh(heard, now))]
         plain = Counter((heard.register, heard.row.applied) for heard in fresh if not heard.row.refused)
         common = plain.most_common(1)[0][0] if plain else None
@@ -96,7 +96,7 @@
         return messages
 
     def count(self, number: int, register: int, own: ReceivedReport, local_peer: Peer, now: float) -> Spread:
-        """How far each zone is with a version of that register."""
+        """Return how far a version of that register has spread in each zone."""
         by_zone: dict[str, list[Peer]] = {local_peer.zone: [local_peer]}
         for peer in self._peers.values():
             by_zone.setdefault(peer.zone, []).append(peer)
@@ -110,7 +110,7 @@
         return Spread(number, tuple(zones))
 
     def _row_of(self, peer: Peer, register: int, own: ReceivedReport, now: float) -> MemberReport | None:
-        """What a member says now; None where it is unknown."""
+        """Return the current report of a member, or None if it has no fresh one."""
         if peer.name == own.row.name:
             heard = own
         else:
@@ -129,7 +129,7 @@
         return heard.row
 
     def _latest(self, name: str) -> ReceivedReport | None:
-        """What a member said last, to this instance or to one that told of it."""
+        """Return a member's latest report, received directly or forwarded."""
         heard, told = self._heard.get(name), self._told.get(name)
         if heard is None or told is None:
             return heard or told
@@ -145,7 +145,7 @@
 
 
 def _supersedes(heard: ReceivedReport, kept: ReceivedReport) -> bool:
-    """Whether a report is later than another of the same member."""
+    """Return whether a report is at least as recent as another of the same member."""
     if heard.row.generation != kept.row.generation:
         return heard.row.generation > kept.row.generation
     return heard.row.applied >= kept.row.applied and heard.received_at >= kept.received_at
@@ -162,7 +162,7 @@
 
 
 def _filled(rows: Iterable[AgedReport], room: int) -> Iterator[tuple[AgedReport, ...]]:
-    """The rows in groups that fit into a datagram each."""
+    """Yield the rows in groups that each fit into a datagram."""
     group: list[AgedReport] = []
     used = 0
     for row in rows:
--- a/thistleshore/distribution/transfer.py
+++ b/thistleshore/distribution/transfer.py
@@ -1,8 +1,8 @@
-"""Bodies on their way: one fetch of this instance's own, and the transfers that it serves to others.
+"""Transfers of bodies: the fetch of this instance, and the transfers that it serves to others.
 
-A fetch asks one source for parts, with a window of them on their way at any time.  What does not come in time is asked
-for again: within `answer_timeout` at first, and by the round trip once measured.  When the source is silent, lacks the
-body or sends something else, the next source is asked from the first part on.
+A fetch requests parts from one source, with a bounded window of outstanding parts.  Parts that are late are
+requested again: after `answer_timeout` at first, then after a multiple of the measured round-trip time.  If the source
+is silent, lacks the body or sends wrong data, the fetch starts over with the next source.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import NO_VERSION, Stamp, ProtocolSettings
 
-SILENT_ANSWERS = 2.0  # answer times without a word of a source, after which another is asked
-PATIENCE_TRIPS = 2.5  # round trips after which a part is asked for again
-PATIENCE_LEAST = 0.02  # s
-TRIP_KEPT = 0.8  # of a longer round trip, when a shorter one is measured
-PART_SECONDS = 0.005  # for which a part occupies its sender: what paces many transfers
-SLOT_ANSWERS = 2.0  # answer times after which a transfer that asks for nothing is over
-BUSY_PARTS = 16.0  # parts' time that one is told to wait at most, for each transfer under way
+SILENT_ANSWERS = 2.0  # multiples of `answer_timeout` without data after which the next source is tried
+PATIENCE_TRIPS = 2.5  # multiples of the round-trip time after which parts are requested again
+PATIENCE_LEAST = 0.02  # seconds
+TRIP_KEPT = 0.8  # factor by which the round-trip estimate decays when a shorter one is measured
+PART_SECONDS = 0.005  # seconds that sending a part takes; used to pace concurrent transfers
+SLOT_ANSWERS = 2.0  # multiples of `answer_timeout` after which an idle transfer is over
+BUSY_PARTS = 16.0  # longest suggested wait for each running transfer, in parts' sending time
 
 
 class Source(NamedTuple):
@@ -33,59 +33,59 @@
 
 
 class Taken(Enum):
-    """What a part did to a fetch."""
+    """The effect of a received part on a fetch."""
 
-    STRAY = "it belongs to no request of ours, or came twice"
+    STRAY = "it was not requested, or is a duplicate"
     MORE = "others are still missing"
-    WINDOW = "the window has room; ask for the next"
-    COMPLETE = "all parts are here"
-    UNSOUND = "it cannot be part of this body"
+    WINDOW = "the window has room for further requests"
+    COMPLETE = "all parts have arrived"
+    UNSOUND = "it is inconsistent with this body"
 
 
 class Fetching:
-    """The body of one version on its way here."""
+    """The fetch of one version's body."""
 
     def __init__(
         self, stamp: Stamp, base: Stamp, sources: Iterable[Source], settings: ProtocolSettings, number: int
     ) -> None:
-        """`number` is that of the first transfer; each source gets another."""
+        """`number` identifies the first transfer; it increases with each source."""
         self.stamp, self.base = stamp, base
         self.transfer = number
-        self.due = 0.0  # when the source is late
+        self.due = 0.0  # when the source is overdue
         self._settings = settings
         self._sources = list(dict.fromkeys(sources))
         self._forget_parts()
 
     def _forget_parts(self) -> None:
-        """Begin from the first part, with whatever source is next."""
+        """Start over from the first part, with the next source."""
         self._encoding: tuple[int, int, int] | None = None  # base, size, count of parts
         self._parts: dict[int, bytes] = {}
         self._received = 0  # bytes
-        self._window: set[int] = set()  # parts that were asked for and have not come
-        self._next = 0  # the first part that was never asked for
-        self._timed: tuple[int, float] | None = None  # a part, and when it was asked for, once
-        self._trip = 0.0  # s of a round trip; 0: not measured
-        self._patience = self._settings.answer_timeout  # s after which parts are asked for again
+        self._window: set[int] = set()  # outstanding parts
+        self._next = 0  # the first part not yet requested
+        self._timed: tuple[int, float] | None = None  # a part requested only once, and when
+        self._trip = 0.0  # seconds; estimated round-trip time; 0: not measured
+        self._patience = self._settings.answer_timeout  # seconds until outstanding parts are requested again
         self._give_up_at = 0.0
 
     @property
     def source(self) -> Source | None:
-        """Who is asked; None where all have been."""
+        """The current source; None after all have been tried."""
         return self._sources[0] if self._sources else None
 
     @property
     def begun(self) -> bool:
-        """Whether any part is here."""
+        """Whether any part has arrived."""
         return bool(self._parts)
 
     @property
     def encoding(self) -> Encoding:
-        """What came, once it is complete."""
+        """The received encoding; only valid once complete."""
         assert self._encoding is not None
         return Encoding(self._encoding[0], b"".join(self._parts[index] for index in sorted(self._parts)))
 
     def add_source(self, source: Source) -> None:
-        """Another instance has the body: it is asked right after the present source."""
+        """Add a source that has the body; it is tried right after the current one."""
         if source in self._sources[:1]:
             return
         if source in self._sources:
@@ -93,7 +93,7 @@
         self._sources.insert(1, source)
 
     def next_source(self, whole: bool = False) -> None:
-        """Give the present source up; `whole`: ask the next for no difference."""
+        """Move on to the next source; if `whole`, do not accept a delta from it."""
         del self._sources[:1]
         if whole:
             self.base = NO_VERSION
@@ -101,7 +101,7 @@
         self._forget_parts()
 
     def request(self, now: float) -> wire.Fetch:
-        """What to send to the source now: a request for the next parts, as far as the window has room."""
+        """Return the request for the next parts, as far as the window has room."""
         if self._next == 0:
             self._give_up_at = now + SILENT_ANSWERS * self._settings.answer_timeout
         count = self._encoding[2] if self._encoding else self._settings.window
@@ -113,22 +113,22 @@
         return self._fetch(new, now)
 
     def request_again(self, now: float) -> wire.Fetch:
-        """A request for the parts that were asked for and have not come."""
-        self._timed = None  # an answer would not say to which request
+        """Return a request that repeats all outstanding parts."""
+        self._timed = None  # an answer could belong to either request
         return self._fetch(sorted(self._window), now)
 
     def on_late(self, now: float) -> bool:
-        """Nothing came in time; whether to ask the same source again."""
+        """Handle a timeout; return whether to ask the same source again."""
         self._patience = min(2 * self._patience, self._settings.answer_timeout)
         return now < self._give_up_at
 
     def on_busy(self, until: float) -> None:
-        """The source said when to come back."""
+        """Handle a `Busy`: retry the same source at `until`."""
         self._give_up_at = until + SILENT_ANSWERS * self._settings.answer_timeout
         self.due = until
 
     def on_part(self, part: wire.Part, now: float) -> Taken:
-        """Take a part in."""
+        """Handle a part, and return its effect."""
         if part.transfer != self.transfer or part.index in self._parts:
             return Taken.STRAY
         encoding = (part.base, part.size, part.count)
@@ -164,15 +164,18 @@
 
 
 class Serving:
-    """The transfers under way from here to others."""
+    """The transfers from this instance to others."""
 
     def __init__(self, bodies: Bodies, settings: ProtocolSettings, room: int) -> None:
-        """`room` is the most bytes of a part."""
+        """`room` is the maximum size of a part, in bytes."""
         self._bodies, self._settings, self._room = bodies, settings, room
-        self._until: dict[str, float] = {}  # of each transfer under way, by who fetches
+        self._until: dict[str, float] = {}  # end of each transfer's slot, by the name of the fetching instance
 
     def answer(self, request: wire.Fetch, sender: str, chance: float, now: float) -> list[wire.Message]:
-        """What to send for a request; `chance` from 0 to 1 spreads those who have to come back."""
+        """Return the messages that answer a request.
+
+        `chance`, a random number from 0 to 1, spreads the retries of instances that get `Busy`.
+        """
         if not self._bodies.has(request.number, request.digest):
             return [wire.BodyUnavailable(request.transfer)]
         base = request.base if self._bodies.has(request.base, request.base_digest) else 0
@@ -194,7 +197,7 @@
         return True
 
     def _wait(self, chance: float) -> int:
-        """ms after which to come back."""
+        """Return the time after which to retry, in ms."""
         most = PART_SECONDS * BUSY_PARTS * len(self._until)
         return min(wire.AGE_MOST, round(1000 * most * (0.25 + 0.75 * chance)))
 
--- a/thistleshore/distribution/tree.py
+++ b/thistleshore/distribution/tree.py
@@ -1,7 +1,7 @@
-"""Who passes versions on to whom: a tree over the living members of the view, the same at all that share the view.
+"""The distribution tree over the living members, computed alike by all instances that share the same view.
 
-Relays are picked by rendezvous hashing: each member has a weight in its zone and one in its region, and the heaviest
-that live are the relays.  When one dies only its own place changes hands.
+Relays are chosen by rendezvous hashing: each member has a weight in its zone and one in its region, and the living
+members with the highest weights are the relays.  When a relay dies, only that relay is replaced.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 @lru_cache(maxsize=WEIGHTS_KEPT)
 def weight(scope: str, name: str) -> int:
-    """The weight of a member in a zone or region."""
+    """Return the rendezvous weight of a member in a zone or region."""
     return xxhash.xxh3_64_intdigest(f"{scope}\0{name}".encode())
 
 
 def heaviest(scope: str, peers: Iterable[Peer]) -> tuple[Peer, ...]:
-    """The relays among these peers, the heaviest first."""
+    """Return the relays among these peers, the highest weight first."""
     return tuple(heapq.nlargest(RELAYS, peers, key=lambda peer: (weight(scope, peer.name), peer.name)))
 
 
 class Tree:
-    """The tree as one member sees it: `parents` above it, level by level, and `children` below it."""
+    """The tree from one member's position: `parents` above it by level, nearest first, and `children` below it."""
 
     def __init__(self, local_peer: Peer, others: Mapping[str, Peer], voters: frozenset[str]) -> None:
         living = [local_peer, *(peer for peer in others.values() if peer.alive)]
@@ -45,7 +45,7 @@
 
     @property
     def own_zone_relays(self) -> tuple[Peer, ...]:
-        """The relays of this member's zone, without itself."""
+        """The relays of this member's zone, except itself."""
         return self._without_me(self.zone_relays[self.local_peer.zone])
 
     def _parents(self) -> tuple[tuple[Peer, ...], ...]:
@@ -88,7 +88,7 @@
 
 
 def _reachable_voters(voters: frozenset[str], local_peer: Peer, others: Mapping[str, Peer]) -> tuple[Peer, ...]:
-    """The living voters; all known ones where none lives, as the view may be late to see that they are back."""
+    """Return the living voters, or all known ones if none is alive, as the view may lag behind their return."""
     known = [others[name] for name in sorted(voters) if name in others and name != local_peer.name]
     living = tuple(peer for peer in known if peer.alive)
     return living or tuple(known)
--- a/thistleshore/distribution/wire.py
+++ b/thistleshore/distribution/wire.py
@@ -1,6 +1,6 @@
-"""Datagrams as bytes: `tC`, the version, a checksum of the rest, and MessagePack arrays.
+"""Datagram encoding: magic `tC`, wire version, CRC-32 of the payload, and a payload of MessagePack arrays.
 
-Fields that a later version adds at the end of a message are passed over.
+Unknown fields at the end of a message, added by a later version, are ignored.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 WINDOW_MOST = 64  # parts in one request
 ROWS_MOST = 256  # whole rows in one datagram
 AGE_MOST = 65535  # ms
-ENVELOPE_ROOM = 64  # bytes that hold all numbers of an envelope and a message, and the heads around them
+ENVELOPE_ROOM = 64  # bytes reserved for all numbers of an envelope and message, and the array headers
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << NUMBER_BITS) - 1)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_MOST)]
@@ -33,25 +33,25 @@
 
 
 class InvalidDatagram(Exception):
-    """What came is no datagram of ours; the text is the kind that is counted."""
+    """The datagram is invalid or from another fleet; the message is the counter to increment."""
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """What the sender says of itself; answered by an `Answer`."""
+    """The sender's own state; answered by an `Answer`."""
 
-    number: Number  # repeated in the answer; 0: it waits for none
-    register: Number  # that of `applied`
+    number: Number  # echoed in the answer; 0: no answer is awaited
+    register: Number  # register of `applied`
     applied: Number
     refused: Number
     reason: Annotated[str, msgspec.Meta(max_length=MAX_REASON_CHARS)]
-    held: Stamp  # the newest version whose body the sender can send
+    held: Stamp  # the newest version whose body the sender has
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """The answer to a report."""
 
     number: Number
-    held: Stamp  # the newest version whose body the sender can send
+    held: Stamp  # the newest version whose body the sender has
 
 
 class Offer(msgspec.Struct, frozen=True, array_like=True, tag=2):
@@ -61,7 +61,7 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """An offer was heard."""
+    """Confirms an offer."""
 
     number: Number  # of the version
 
@@ -69,19 +69,19 @@
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """A request for parts of a body; answered by those parts, `Busy` or `BodyUnavailable`."""
 
-    transfer: Number  # repeated in the answers
+    transfer: Number  # echoed in the answers
     number: Number
     digest: Digest
-    base: Number  # the version that the sender has, for a difference; 0: none
+    base: Number  # the version that the sender has as a base for a delta; 0: none
     base_digest: Digest
     parts: Annotated[tuple[Index, ...], msgspec.Meta(max_length=WINDOW_MOST)]
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """One part of a body as it is sent."""
+    """One part of an encoded body."""
 
     transfer: Number
-    base: Number  # it is the difference to this version; 0: whole
+    base: Number  # the version that it is a delta to; 0: whole
     size: Number  # bytes of all parts together
     count: Annotated[int, msgspec.Meta(ge=1, le=PARTS_MOST)]
     index: Index
@@ -89,36 +89,36 @@
 
 
 class Busy(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Too many transfers run; come back later."""
+    """Too many transfers are running; retry after `after`."""
 
     transfer: Number
     after: Milliseconds
 
 
 class BodyUnavailable(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The sender has no body of the version that was asked for."""
+    """The sender does not have the requested body."""
 
     transfer: Number
 
 
 class ReportsRequest(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A request for the fresh reports that the receiver holds; answered by `ReportBatch`."""
+    """A request for the fresh reports that the receiver has; answered by `ReportBatch`."""
 
 
 class AgedReport(msgspec.Struct, frozen=True, array_like=True):
-    """A report that another instance sent to the sender."""
+    """A report that the sender received, with its age."""
 
     row: MemberReport
-    register: Number  # that of `row.applied`
-    age: Milliseconds  # since it was heard
+    register: Number  # register of `row.applied`
+    age: Milliseconds  # since it was received
 
 
 class ReportBatch(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Fresh reports: `members` are those that say the same, in short, and `rows` are others, whole."""
+    """Fresh reports: `members` are identical ones in compact form, `rows` are the others in full."""
 
-    register: Number  # that of `applied`
-    applied: Number  # by all of `members`
-    members: bytes  # of each its token and the age of its report, see `reports.py`
+    register: Number  # register of `applied`
+    applied: Number  # version in force at all of `members`
+    members: bytes  # the token of each and the age of its report, see `reports.py`
     rows: Annotated[tuple[AgedReport, ...], msgspec.Meta(max_length=ROWS_MOST)]
 
 
@@ -126,7 +126,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message, and who sent it."""
+    """A message with its sender."""
 
     fleet: str
     sender: Name
@@ -139,13 +139,16 @@
 
 
 def write(fleet: str, sender: str, generation: int, message: Message) -> bytes:
-    """The datagram of a message."""
+    """Encode a message as a datagram."""
     body = _encoder.encode(Envelope(fleet, sender, generation, message))
     return HEAD.pack(MAGIC, VERSION, crc32(body)) + body
 
 
 def read(data: bytes, fleet: str, most: int) -> Envelope:
-    """What a datagram says, or InvalidDatagram; the cheap checks come first, as anybody may send anything."""
+    """Decode a datagram, or raise InvalidDatagram.
+
+    Cheap checks come first, as the sender is not authenticated.
+    """
     if not HEAD.size < len(data) <= most:
         raise InvalidDatagram("size")
     magic, version, checksum = HEAD.unpack_from(data)
@@ -168,17 +171,17 @@
 
 
 def room(fleet: str, sender: str, most: int) -> int:
-    """Bytes for what a message carries beyond its numbers, in a datagram of at most so many bytes."""
+    """Return the payload bytes besides a message's numbers in a datagram of at most `most` bytes."""
     return most - HEAD.size - ENVELOPE_ROOM - len(fleet.encode()) - len(sender.encode())
 
 
 def row_size(row: AgedReport) -> int:
-    """Bytes of a row in a datagram."""
+    """Return the encoded size of a row, in bytes."""
     return len(_encoder.encode(row))
 
 
 def _sound(message: Message) -> bool:
-    """Whether the parts of a message that other modules declare are within their bounds."""
+    """Return whether the fields of types declared in other modules are within their bounds."""
     if isinstance(message, Report | Answer):
         return _sound_stamp(message.held)
     if isinstance(message, Offer):
