--- a/thistleshore/contracts/ledger.py
+++ b/thistleshore/contracts/ledger.py
@@ -1,21 +1,23 @@
-"""The ledger: who is within its share, in which order what waits is served, and who pays for further attempts.
-
-No I/O, no clock: events with their time go in, stamps and actions come out.  The ledger refuses nothing.  What it
-stamps goes to the decision module in `Request`, and the module alone decides server, retry and refusal.
-
-Rules, each decided here and nowhere else:
-
-- A member's guarantee is its share of what the pool can do now, in slots.  Among its contracts it is filled by weight,
-  and what one of them leaves the others have.  Per member and contract it flows into a bucket of slot-seconds.
-- A stream is within share where its bucket holds anything, and takes its expected work out of it.  What it really
-  took is settled when its attempts end: jobs that are heavier than their neighbours' cost their own member.
-- A stream keeps its standing until its final answer: it is never stamped upward while it waits.
-- What is within share is offered to the module at once; the module lets the earliest wanted time go first.
-- What is beyond share waits here, and is offered into room that nobody within share wants, in fair-queueing order by
-  share.  A few free slots are kept back, so that what comes within share next finds room: that is how lent share is
-  taken back, within the time that it takes a job to end.
-- It waits as long as its aim, and no more than the bounds allow; over them the member that has been over its share
-  longest gives way, its latest first.  Then it is offered without `spare`, and the module refuses it.
+"""The ledger: which streams are within their member's share, the order of service, and who pays for retries.
+
+Pure state: events with their times go in, stamps and offers come out; no I/O and no clock.  The ledger refuses nothing.
+Its stamps go to the decision module in `Request`, and the module alone decides on host, retry and refusal.
+
+Rules, each implemented only here:
+
+- A member is guaranteed its share of the pool's present capacity, in slots.  The share is divided among the member's
+  contracts by weight, and what one contract leaves unused goes to the others.  Each member and contract has a token
+  bucket of slot-seconds that the guarantee fills.
+- A stream is within share if its bucket is not empty; its expected work is taken from the bucket.  The difference from
+  the real work is settled when its attempts end, so jobs heavier than usual are charged to their own member.
+- A stream keeps its standing until its final answer: it is not promoted while it waits.
+- Streams within share are offered to the module at once; the module serves the earliest target time first.
+- Streams beyond share wait here, in fair-queueing order by share, and are offered into slots that no stream
+  within share needs.  A few free slots are held in reserve, so that streams within share find room at once: lent
+  capacity returns to its owner within the time of one job.
+- They wait no longer than their aim, within the limits on waiting streams.  Over these limits the member that has been
+  beyond its share longest loses its latest stream.  Such streams are offered with `spare` 0, and the module refuses
+  them.
 """
 
 from __future__ import annotations
@@ -38,21 +40,23 @@
 from thistleshore.contracts.retry_budget import CombinedRetryBudget, RetryBudget
 from thistleshore.contracts.sharing import share_max_min, lend
 
-REFRESH_EVERY, REFRESH_PER_SHARE = 0.1, 1e-4  # s between two computations, and at least so much for each share
-DEMAND_FADE = log(2) / 2.0  # 1/s; demand of two seconds ago counts half
-RUN_PART = 0.1  # of a job's work in the estimate of the next one's
-LONG_FADE = log(2) / 8.0  # the same for what other instances are told: parts must not follow chance
-DEMAND_MARGIN = 1.25  # what a contract seems to need is rounded up so, before its siblings share the rest
-DEBT_MOST = 5.0  # s of its guarantee that a bucket may be in debt: one giant must not bar its member for good
-LEAST_WEIGHT = 0.01  # by which a member without a share borrows
-KEPT_BACK, KEPT_BESIDE = 0.08, 0.08  # of a service's slots that are not lent, and more for each instance beside
-ROOM_AGE = 0.01  # s for which a sum of free slots counts; what is offered meanwhile is taken off it
-STEP = 0.02  # s between two looks while something waits
-REPEAT_LAST = 1e9  # added to the rank of a marked repeat that no budget pays for
+REFRESH_INTERVAL = 0.1  # seconds between two computations of guarantees
+REFRESH_PER_SHARE = 1e-4  # seconds added to the least interval for each share, so that many members cost little CPU
+DEMAND_DECAY = log(2) / 2.0  # 1/s; half-life of 2 s
+RUN_WEIGHT = 0.1  # weight of the latest job in the moving average of run times
+SLOW_DEMAND_DECAY = log(2) / 8.0  # 1/s; for the demand sent to other instances, so that leases do not follow noise
+DEMAND_MARGIN = 1.25  # factor on a contract's estimated demand before its siblings share the rest
+MAX_DEBT = 5.0  # seconds of the guarantee; one very long job must not lock its member out for good
+MIN_WEIGHT = 0.01  # fair-queueing weight of a member without a share
+RESERVED_PART = 0.08  # part of a service's slots that is not lent
+RESERVED_PER_PEER = 0.08  # further part for each other instance, which sees the same free slots
+FREE_SLOTS_AGE = 0.01  # seconds for which a count of free slots is used, less what is offered meanwhile
+STEP = 0.02  # seconds between two calls of `due` while streams wait
+UNPAID_REPEAT_RANK = 1e9  # added to the rank of a marked repeat beyond the retry budget
 
 
 class _ShareState:
-    """One member under one contract."""
+    """State of one member under one contract."""
 
     __slots__ = (
         "born",
@@ -74,41 +78,44 @@
 
     def __init__(self, member: _Member, contract: ContractTerms, now: float) -> None:
         self.member, self.contract = member, contract
-        self.allotment = 0.0  # slots that flow into the bucket
+        self.allotment = 0.0  # guaranteed slots, the rate at which the bucket fills
         self.bucket = inf  # until the first guarantee is known
         self.refilled_at = now
-        self.demand, self.demand_at = 0.0, now  # decayed slot-seconds asked for
-        self.usual = contract.run  # the same of the contract's middle member: heavy jobs must not mean a larger burst
-        self.lately, self.born = 0.0, now  # as `demand`, for longer
-        self.run = contract.run  # s that a job is expected to take
-        self.over = inf  # since when it has been beyond its share
-        self.waiting: dict[int, int] = {}  # streams that wait, and their bytes, the latest last
+        self.demand, self.demand_at = 0.0, now  # slot-seconds requested, with exponential decay
+        self.usual = (
+            contract.run
+        )  # median `run` over the contract's members, so that heavy jobs do not allow a larger burst
+        self.lately, self.born = 0.0, now  # as `demand`, with slower decay; and when counting began
+        self.run = contract.run  # expected run time of a job, seconds
+        self.over = inf  # when it went beyond its share; inf: it is within
+        self.waiting: dict[int, int] = {}  # bytes of each waiting stream, latest last
         self.retries = RetryBudget(member.terms.retries, now)
         self.counts = dict.fromkeys(
             ("offered", "within", "beyond", "served", "in_time", "late", "refused", "failed"), 0
         )
 
     def asked(self, now: float) -> float:
-        """Slots that are asked for: work a second, lately."""
-        return self.demand * exp(DEMAND_FADE * min(0.0, self.demand_at - now)) * DEMAND_FADE
+        """Return the slots requested lately: work per second."""
+        return self.demand * exp(DEMAND_DECAY * min(0.0, self.demand_at - now)) * DEMAND_DECAY
 
     def asked_lately(self, now: float) -> float:
-        """The same over a longer time; right after the start it is still filling, and would read low."""
-        filled = 1.0 - exp(LONG_FADE * min(-0.5, self.born - now))
-        return self.lately * exp(LONG_FADE * min(0.0, self.demand_at - now)) * LONG_FADE / filled
+        """Return the slots requested over a longer time, corrected for the short history after the start."""
+        filled = 1.0 - exp(SLOW_DEMAND_DECAY * min(-0.5, self.born - now))
+        return self.lately * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) * SLOW_DEMAND_DECAY / filled
 
     def ask(self, work: float, now: float) -> None:
-        self.lately = self.lately * exp(LONG_FADE * min(0.0, self.demand_at - now)) + work
-        self.demand = self.demand * exp(DEMAND_FADE * min(0.0, self.demand_at - now)) + work
+        """Add the expected work of a new stream, slot-seconds."""
+        self.lately = self.lately * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) + work
+        self.demand = self.demand * exp(DEMAND_DECAY * min(0.0, self.demand_at - now)) + work
         self.demand_at = max(now, self.demand_at)
 
     def cap(self) -> float:
-        """What a bucket holds."""
+        """Return the capacity of the bucket, slot-seconds."""
         return max(self.member.terms.burst * self.allotment, self.member.terms.jobs * min(self.run, 2 * self.usual))
 
 
 class _Member:
-    """One member: its retry budget, its fair-queueing tag, and its ceiling's bucket."""
+    """One member: its retry budget, its fair-queueing tag, and the token bucket of its ceiling."""
 
     __slots__ = ("ceiling", "refilled_at", "retries", "tag", "terms")
 
@@ -120,35 +127,34 @@
 
 
 class Guarantee(NamedTuple):
-    """A row of the agreement tree: slots."""
+    """The guarantee, allotment and demand of one member under one contract, in slots."""
 
     share: ShareKey
     member: str
     contract: str
     guaranteed: float
-    allotted: float  # with what is lent, by present demand
+    allotted: float  # including borrowed slots, by present demand
     demand: float
 
 
 class _Open:
-    """A stream that has no final answer yet, or attempts out."""
+    """A stream without a final answer, or with attempts in flight."""
 
     __slots__ = ("charged", "offered", "opened", "sent", "stamp", "state", "until", "worked")
 
     def __init__(self, state: _ShareState, stamp: Stamp, charged: float, opened: float, until: float) -> None:
         self.state, self.stamp, self.charged, self.opened = state, stamp, charged, opened
-        self.until = until  # it waits here no longer than that
+        self.until = until  # when its wait in the ledger ends
         self.offered = False
         self.sent = 0  # attempts
-        self.worked = 0.0  # slot-seconds that have ended
+        self.worked = 0.0  # slot-seconds of attempts that have ended
 
 
 class Ledger:
     """All agreements of one dispatcher.
 
-    `capacity()` gives the slots of each service's hosts that are ready now, 0 where that is not known, and `room()`
-    those of them that are free.
-    `part(share)` is the part of a share's guarantee that this instance has, 0 to 1.
+    `capacity()` returns the slots of each service's ready hosts, 0 where unknown, and `room()` the free ones.
+    `part(share)` returns the part of a share's guarantee that this instance may use, 0 to 1.
     """
 
     step = STEP
@@ -162,13 +168,13 @@
         part: Callable[[ShareKey], float] = lambda share: 1.0,
     ) -> None:
         self.capacity, self.room, self.part = capacity, room, part
-        self._queue: list[tuple[float, int]] = []  # what waits beyond share, by rank
-        # Shares of which something waits, also of agreements that are gone.
+        self._queue: list[tuple[float, int]] = []  # streams waiting beyond share, by rank
+        # Shares with waiting streams, including those of removed agreements.
         self._backlogged: dict[_ShareState, None] = {}
-        self._offers: list[Offer] = []  # what is to be offered at once
+        self._offers: list[Offer] = []  # to be returned by the next call of `due`
         self._free: list[float] = []
         self._room_at = -inf
-        self._unsent_within = 0  # streams within share that are offered and not out yet
+        self._unsent_within = 0  # streams within share that are offered and not sent yet
         self.slots: Sequence[float] = ()
         self._open: dict[int, _Open] = {}
         self._virtual_time = 0.0
@@ -181,9 +187,9 @@
     # -- agreements ---------------------------------------------------------------------------
 
     def adopt(self, agreements: Agreements, now: float) -> None:
-        """New terms in place of the old; counters, estimates and budgets of what goes on are kept.
+        """Replace the terms; counters, estimates and budgets of members and contracts that remain are kept.
 
-        A contract that vanishes drains: its streams keep their standing to the end, and none joins them.
+        A removed contract drains: its streams keep their standing to the end, and no new ones join.
         """
         before = {(state.member.terms.name, state.contract.name): state for state in self._states.values()}
         members, self._members, self._states = self._members, {}, {}
@@ -204,10 +210,10 @@
         self._refreshed_at = -inf
 
     def _refresh(self, now: float) -> None:
-        """Bring guarantees up to date, a few times a second; buckets are filled when they are looked at."""
-        # Thousands of members must not cost more than a small part of a core.
+        """Recompute guarantees a few times a second; buckets are filled when they are read."""
+        # The interval grows with the number of shares: thousands of members may cost only a small part of a core.
         if (
-            now - self._refreshed_at < max(REFRESH_EVERY, REFRESH_PER_SHARE * len(self._states))
+            now - self._refreshed_at < max(REFRESH_INTERVAL, REFRESH_PER_SHARE * len(self._states))
             and now >= self._refreshed_at
         ):
             return
@@ -227,7 +233,9 @@
                 self._refill(state, now)
                 state.allotment = (part + spare * weight / heavy) * self.part(key)
                 if state.allotment <= 0.0 < self._slots(service):
-                    state.bucket = min(state.bucket, 0.0)  # no share: what was open while nothing was known ends
+                    state.bucket = min(
+                        state.bucket, 0.0
+                    )  # no guarantee: end the unlimited bucket of the time before capacity was known
 
     def _service(self, key: ShareKey) -> int:
         return self.agreements.contracts[key.contract].service
@@ -236,13 +244,13 @@
         return self.slots[service] if service < len(self.slots) else 0.0
 
     def _refill(self, state: _ShareState, now: float) -> None:
-        # A clock that jumped back fills nothing; one that jumped ahead fills a burst, which is all a bucket holds.
+        # A clock that jumps back adds nothing; one that jumps ahead fills the bucket, at most one burst.
         if state.allotment:
             state.bucket = min(state.cap(), state.bucket + state.allotment * max(0.0, now - state.refilled_at))
         state.refilled_at = now
 
     def _over_ceiling(self, member: _Member, service: int, work: float, now: float) -> bool:
-        """Is the member over its ceiling?  If not, the work is taken out of its bucket."""
+        """Return whether the work would pass the member's ceiling; if not, take it from the ceiling's bucket."""
         if member.terms.ceiling is None or not self._slots(service):
             return False
         rate = (
@@ -263,10 +271,10 @@
     def on_open(
         self, stream: int, contract: int, member: str, size: int, repeat: bool, now: float, patience: float = inf
     ) -> tuple[Stamp, CombinedRetryBudget]:
-        """A stream has come: its standing and rank, which it keeps, and the budget of its further attempts.
+        """Register a new stream; return its standing and rank, which are final, and the budget of its retries.
 
-        `size` in bytes; `repeat`: its client marks it as a repeat; `patience`: s that the client waits.  A member that
-        has no agreement counts as OTHERS, or, where that has none, is beyond share whatever it asks.
+        `size`: bytes; `repeat`: its client marks it as a repeat; `patience`: seconds for which the client waits.  A
+        member without an agreement counts as OTHER_MEMBERS; if that has none either, the stream is beyond share.
         """
         self._refresh(now)
         name = member if member in self._numbers else OTHER_MEMBERS
@@ -284,7 +292,7 @@
         elif budget.left(now) >= 1.0:
             budget.pay(now)
         else:
-            unpaid = True  # repeats beyond the budget are served last: a storm of them is nobody's share
+            unpaid = True  # repeats beyond the budget are served last: a retry storm must not use anyone's share
         barred = self._over_ceiling(state.member, service, work, now)
         payer = state if state.bucket > 0.0 else self._sibling(number, state, work, now)
         within = number >= 0 and payer is not None and not unpaid and not barred
@@ -297,12 +305,12 @@
         else:
             state.counts["beyond"] += 1
             state.over = min(state.over, now)
-            weight = max(LEAST_WEIGHT, state.member.terms.share)
+            weight = max(MIN_WEIGHT, state.member.terms.share)
             rank = max(self._virtual_time, state.member.tag)
             state.member.tag = rank + work / weight
-            rank += REPEAT_LAST if unpaid else 0.0
+            rank += UNPAID_REPEAT_RANK if unpaid else 0.0
         stamp = Stamp(ShareKey(number, contract), not within, rank, barred)
-        # Offered for refusal well before its client gives up, so that the answer is in time.
+        # Offered for refusal well before the client gives up, so that the answer arrives in time.
         until = now + min(state.contract.aim, 0.8 * patience)
         self._open[stream] = _Open(state, stamp, charged, now, until)
         if within or barred:
@@ -314,7 +322,7 @@
         return stamp, budget
 
     def _offer(self, stream: int, spare: float = 1.0) -> None:
-        """Hand it to the module; from then on it is the module's."""
+        """Queue a stream to be offered to the module, which is responsible for it from then on."""
         found = self._open[stream]
         found.state.waiting.pop(stream, None)
         found.offered = True
@@ -323,7 +331,7 @@
         self._offers.append(Offer(stream, spare))
 
     def due(self, now: float) -> list[Offer]:
-        """What is to be offered now, in order; to be asked after every event, and each `STEP` while something waits."""
+        """Return what to offer now, in order; called after every event, and every `STEP` while streams wait."""
         self._shed_excess()
         self._offer_overdue(now)
         kept: list[tuple[float, int]] = []
@@ -331,15 +339,15 @@
             rank, stream = self._queue[0]
             found = self._open.get(stream)
             if found is None or found.offered:
-                heappop(self._queue)  # answered, withdrawn, or given way
+                heappop(self._queue)  # answered, withdrawn or shed
             elif self._lendable(found.state.contract.service, now):
                 heappop(self._queue)
-                self._virtual_time = max(self._virtual_time, rank if rank < REPEAT_LAST else 0.0)
-                if self._slots(found.state.contract.service):  # else nothing is known that could be taken off
+                self._virtual_time = max(self._virtual_time, rank if rank < UNPAID_REPEAT_RANK else 0.0)
+                if self._slots(found.state.contract.service):  # with unknown capacity there is no count to lower
                     self._free[found.state.contract.service] -= 1.0
                 self._offer(stream)
             elif self.agreements.services > 1:
-                kept.append(heappop(self._queue))  # another service may have room
+                kept.append(heappop(self._queue))  # another service may have free slots
             else:
                 break
         for item in kept:
@@ -348,12 +356,12 @@
         return told
 
     def _lendable(self, service: int, now: float) -> bool:
-        """Is there room that nobody within share wants?"""
+        """Return whether a slot is free that no stream within share needs."""
         if not self._slots(service):
-            return True  # nothing is known of the pool: the module looks for itself
-        if now - self._room_at > ROOM_AGE or now < self._room_at:
-            # All instances see the same free slots, and late, and none sees what the others are about to send.
-            share = KEPT_BACK + KEPT_BESIDE * (self.agreements.instances - 1)
+            return True  # capacity unknown: the module decides
+        if now - self._room_at > FREE_SLOTS_AGE or now < self._room_at:
+            # All instances see the same free slots, with a delay, and none sees what the others are about to send.
+            share = RESERVED_PART + RESERVED_PER_PEER * (self.agreements.instances - 1)
             kept = [max(1.0, share * slots) for slots in self.slots]
             free = zip(self.room(), kept, strict=True)
             self._free = [(room - back) / self.agreements.instances for room, back in free]
@@ -361,7 +369,7 @@
         return self._free[service] - self._unsent_within >= 1.0
 
     def _offer_overdue(self, now: float) -> None:
-        """What has waited for its aim is the module's to refuse: a late answer would take a slot and earn little."""
+        """Offer overdue streams for refusal: a late answer would occupy a slot and be of little use."""
         for state in list(self._backlogged):
             if not state.waiting:
                 del self._backlogged[state]
@@ -371,12 +379,14 @@
 
     @property
     def waiting(self) -> int:
-        """Streams that wait here."""
+        """How many streams wait here."""
         return sum(len(state.waiting) for state in self._backlogged)
 
     def _sibling(self, member: int, state: _ShareState, work: float, now: float) -> _ShareState | None:
-        """A contract of the same member that has more than half of its bucket left, and so can pay for another:
-        the member is within its share, though chance has it ask for one class more than usual."""
+        """Return another contract of the member that can pay: the one with most left beyond half of its bucket.
+
+        The member as a whole is within its share then, although one contract has more arrivals than usual.
+        """
         best, most = None, 0.0
         for _, other in self._siblings.get((member, state.contract.service), ()):
             if other is not state:
@@ -386,14 +396,14 @@
         return best
 
     def _uncovered(self, contract: int, now: float) -> _ShareState:
-        """The state of streams without an agreement."""
+        """Return the state of streams without an agreement."""
         return self._states.setdefault(
             ShareKey(-1, contract),
             _ShareState(_Member(MemberTerms(OTHER_MEMBERS, 0.0), now), self.agreements.contracts[contract], now),
         )
 
     def on_sent(self, stream: int, now: float) -> None:
-        """An attempt goes out: the stream waits no more."""
+        """Record that an attempt is sent: the stream waits no more."""
         found = self._open.get(stream)
         if found is None:
             return
@@ -402,20 +412,20 @@
         found.sent += 1
 
     def on_attempt_ended(self, stream: int, worked: float, now: float) -> None:
-        """An attempt has ended after so many seconds in a host's slot; 0: it never ran."""
+        """Record the end of an attempt that occupied a slot for `worked` seconds; 0: it never ran."""
         found = self._open.get(stream)
         if found is None or worked <= 0.0:
             return
         state = found.state
-        state.run += RUN_PART * (worked - state.run)
+        state.run += RUN_WEIGHT * (worked - state.run)
         found.worked += worked
-        if not found.stamp.beyond:  # what is borrowed is nobody's guarantee, and is not paid back
+        if not found.stamp.beyond:  # borrowed slots are charged to no guarantee
             self._refill(state, now)
-            state.bucket = max(-DEBT_MOST * state.allotment, state.bucket - (worked - found.charged))
-            found.charged = 0.0  # a further attempt is paid whole
+            state.bucket = max(-MAX_DEBT * state.allotment, state.bucket - (worked - found.charged))
+            found.charged = 0.0  # further attempts are charged in full
 
     def on_answered(self, stream: int, kind: str, now: float) -> None:
-        """The final answer: `served`, `refused`, `failed`, or `withdrawn` by the client."""
+        """Record the final answer: `served`, `refused`, `failed`, or `withdrawn` by the client."""
         found = self._open.get(stream)
         if found is None:
             return
@@ -423,25 +433,25 @@
         state.waiting.pop(stream, None)
         if found.offered and not found.sent and not found.stamp.beyond:
             self._unsent_within -= 1
-        never, found.sent = not found.sent, max(1, found.sent)  # it wants nothing any more
+        never, found.sent = not found.sent, max(1, found.sent)  # it needs no slot any more
         if kind in state.counts:
             state.counts[kind] += 1
         if kind == "served":
             run = found.worked or state.run
             fine = now - found.opened <= state.contract.aim + state.contract.stretch * run
             state.counts["in_time" if fine else "late"] += 1
-        if never and found.charged:  # it took nobody's slot
+        if never and found.charged:  # it used no slot: give its charge back
             state.bucket = min(state.cap(), state.bucket + found.charged)
             found.charged = 0.0
 
     def on_forgotten(self, stream: int) -> None:
-        """The stream is answered and has nothing out."""
+        """Drop a stream that is answered and has no attempts in flight."""
         self._open.pop(stream, None)
 
-    # -- what waits ---------------------------------------------------------------------------
+    # -- waiting streams ---------------------------------------------------------------------------
 
     def _shed_excess(self) -> None:
-        """Let some give way where more waits than the bounds allow."""
+        """Offer streams for refusal while more wait than the limits allow."""
         states = [state for state in self._backlogged if state.waiting]
         while states:
             full = [state for state in states if len(state.waiting) > self.agreements.max_waiting_per_share]
@@ -449,15 +459,15 @@
             over = sum(len(state.waiting) for state in states) > self.agreements.max_waiting
             if not full and not over and size <= self.agreements.max_waiting_bytes:
                 return
-            # Whoever has been over its share longest; of that the latest, which has waited least.
+            # The share that has been exceeded longest loses its latest stream, which has waited least.
             longest = min(full or states, key=lambda state: state.over)
             self._offer(next(reversed(longest.waiting)), 0.0)
             states = [state for state in states if state.waiting]
 
-    # -- to see it ----------------------------------------------------------------------------
+    # -- reports ----------------------------------------------------------------------------
 
     def demands(self, now: float) -> dict[ShareKey, float]:
-        """Slots that each share asks for here, as a part of what its member is guaranteed over all instances."""
+        """Return the demand of each share here, as a part of the member's guarantee over all instances."""
         told = {}
         for key, state in self._states.items():
             if key.member >= 0:
@@ -468,7 +478,7 @@
         return told
 
     def tree(self, now: float) -> list[Guarantee]:
-        """The agreement tree with the shares as they are now."""
+        """Return the present guarantees, allotments and demands of all members and contracts."""
         self._refresh(now)
         keys = [key for key in self._states if key.member >= 0]
         told: list[Guarantee] = []
@@ -488,7 +498,7 @@
         return told
 
     def figures(self, now: float) -> list[ShareFigures]:
-        """Counts and state of every member under every contract that has had a stream."""
+        """Return counts and state of every member under every contract that has had a stream."""
         self._refresh(now)
         return [
             ShareFigures(
@@ -507,4 +517,5 @@
 
     @property
     def open(self) -> int:
+        """How many streams are registered."""
         return len(self._open)
