--- a/thistleshore/fleet/machine.py
+++ b/thistleshore/fleet/machine.py
@@ -1,8 +1,8 @@
-"""One member's side of the view, with no socket and no clock: datagrams and time in, datagrams and events out.
+"""The membership protocol of one member as a state machine without I/O: datagrams and time in, actions out.
 
-Every public method takes the time (seconds of a monotonic clock), changes the state and returns actions; none waits.
-`due` is when `on_time` wants to be called next.  Whoever calls it much later was stopped in between: nobody is judged
-by that time.
+Every public event method takes the time (seconds of a monotonic clock), changes the state and returns actions; none
+blocks.  `due` is the time at which `on_time` is to be called next.  A call that is much later means that this process
+was stopped or starved in between; that gap does not count against other members.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
     Terms,
 )
 
-WINDOW = 64  # numbers of a sender that may overtake one another
-REPLIES_MOST = 8  # datagrams of records for one comparison
-TOLD_MOST = 1024  # events kept for those who ask later
+WINDOW = 64  # sequence numbers of a sender within which reordered datagrams are accepted
+REPLIES_MOST = 8  # datagrams with records in answer to one anti-entropy message
+TOLD_MOST = 1024  # events that are retained for the call `events`
 
 
 class Member:
-    """What is known here of one other member."""
+    """The local state of one other member."""
 
     __slots__ = (
         "suspected_by",
@@ -60,27 +60,27 @@
 
     def __init__(self, record: Record, now: float) -> None:
         self.record, self.since = record, now
-        self.digest = -1  # of its view, as it told it last
-        self.known_count = 0  # how many it knows, by that word
-        self.newest, self.seen_numbers = -1, 0  # of its datagrams, and those shortly before
-        self.suspected_by: set[str] = set()  # who suspects it
+        self.digest = -1  # of its view, as last received
+        self.known_count = 0  # members that it knows, as last received
+        self.newest, self.seen_numbers = -1, 0  # greatest sequence number received, and a bit mask of those before it
+        self.suspected_by: set[str] = set()  # names of those that suspect it
         self.suspect_since = now
         self.call_at, self.call_gap = inf, 0.0
-        self.unsure = 0.0  # s by which its suspicion is longer, as it was our own probe and we doubt ourselves
+        self.unsure = 0.0  # seconds added to the suspicion timeout, as an unhealthy local probe began it
 
 
 class _Probe:
-    """The probe under way."""
+    """The probe in progress."""
 
     __slots__ = ("ask_at", "asked", "ends", "name", "number", "refused")
 
     def __init__(self, name: str, number: int, ask_at: float, ends: float) -> None:
         self.name, self.number, self.ask_at, self.ends = name, number, ask_at, ends
-        self.asked = self.refused = 0  # helpers asked, and those that said that they had no answer either
+        self.asked = self.refused = 0  # helpers asked for an indirect probe, and those that answered with NACK
 
 
 class _Favour:
-    """A probe for another member."""
+    """An indirect probe that this member runs for another one."""
 
     __slots__ = ("number", "sender", "until")
 
@@ -89,7 +89,7 @@
 
 
 class Fleet:
-    """The view of one process; `me.life` above zero, `allowed` says whether a host may be sent to."""
+    """The fleet as one member sees it."""
 
     def __init__(
         self,
@@ -102,19 +102,23 @@
         allowed: Callable[[str], bool] = lambda host: True,
         number: int = 0,
     ) -> None:
-        """`number` is that of the last datagram of a life that goes on here, after a hot restart."""
-        # Plain numbers: enumerations are written otherwise, and checksums are made of what is written.
+        """Begin outside the fleet; the member joins once `on_time` finds that it may.
+
+        `me` has a generation above zero.  `allowed` says whether datagrams may be exchanged with a host.  `number` is
+        the sequence number of the predecessor's last datagram where a hot restart continues its generation, else 0.
+        """
+        # Plain integers: an enumeration has another text, and digests are computed from texts.
         self.own_record = msgspec.structs.replace(me, state=int(me.state), service=int(me.service))
         self.fleet, self.terms, self.allowed = fleet, terms, allowed
         self.first_generation = me.generation
         self.seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != me.address))
         self.members: dict[str, Member] = {}
-        self._not_alive: dict[str, Member] = {}  # those of them that are not alive: few, where there are many
+        self._not_alive: dict[str, Member] = {}  # few, so that timers need no scan of all members
         self.counts: Counter[str] = Counter()
-        self.health = 0  # 0: sound; grows with every sign that it is this instance that is slow
-        self.observing = True  # not a member yet, or no longer
+        self.health = 0  # Lifeguard's health score; 0: healthy, grows with each sign that this instance is slow
+        self.observing = True  # not a member yet, or not any more because another process has the name
         self.leaving = False
-        self.rival: Record | None = None  # another process that lives under our name
+        self.rival: Record | None = None  # another live process with this name
         self.settled = False
         self.changed_at = now
         self.received_any = not self.seeds
@@ -126,8 +130,9 @@
         self._round: list[str] = []
         self._probe: _Probe | None = None
         self._favours: dict[int, _Favour] = {}
-        self._gossip: dict[str, int] = {}  # how often each record has been told
-        self._challenge: tuple[int, Record, float, int] | None = None  # a process under our name that is asked
+        self._gossip: dict[str, int] = {}  # by member name: how often the record was sent as gossip
+        # The pending PING to another process with this name: probe number, its record, deadline, attempts left.
+        self._challenge: tuple[int, Record, float, int] | None = None
         self._digest: int | None = None
         self._buckets: bytes | None = None
         self.born = now
@@ -137,11 +142,11 @@
         self._seed_gap = terms.period / 2
         self._actions: list[Action] = []
 
-    # -- what others in this process ask ---------------------------------------------------------
+    # -- queries of the rest of this process ------------------------------------------------------
 
     @property
     def due(self) -> float:
-        """When `on_time` wants to be called next."""
+        """Return the time at which `on_time` is to be called next."""
         times = [self._next_probe, self._next_sync, self._next_seed]
         if (probe := self._probe) is not None:
             times.append(min(probe.ask_at, probe.ends))
@@ -157,55 +162,56 @@
 
     @property
     def digest(self) -> int:
-        """Of the view: who is in it, of which life, and how each serves.  The same at all members once settled."""
+        """Return the checksum of the names, generations and service states in the view; equal at all once settled."""
         if self._digest is None:
             rows = sorted((record.name, record.generation, record.service) for record in self.living())
             self._digest = crc32(repr(rows).encode())
         return self._digest
 
     def living(self) -> list[Record]:
-        """All that are not dead or gone, this one included unless it stays out."""
+        """Return the records that are neither DEAD nor LEFT, with this member's own unless it is not a member."""
         found = [member.record for member in self.members.values() if member.record.state < State.DEAD]
         return found if self.observing or self.leaving else [*found, self.own_record]
 
     @property
     def alive_count(self) -> int:
-        """How many members live here, this one included."""
+        """Return the number of members that are not DEAD or LEFT, this one included."""
         return len(self.living())
 
     @property
     def known_count(self) -> int:
-        """How many there are, dead ones too until they leave or are forgotten."""
+        """Return the number of known members, with dead ones until they are forgotten, this one included."""
         return sum(member.record.state != State.LEFT for member in self.members.values()) + (not self.observing)
 
     @property
     def majority(self) -> bool:
-        """Whether over half of all that are known live here; never while no seed was heard, or while it stays out.
+        """Return whether more than half of all known members are alive in this view.
 
-        All: also by the word of those that live.  One that has just joined a minority knows none of the dead.
+        False while no seed has answered, and while this process is not a member.  The total includes members that only
+        others know: a process that has just joined a minority partition knows none of the dead ones.
         """
         known_count = self.known_count + self.unlisted_count
         return self.received_any and not self.observing and not self.leaving and 2 * self.alive_count > known_count
 
     @property
     def unlisted_count(self) -> int:
-        """How many more members another one knows than are known here: whoever joins is not told of the dead."""
+        """Return how many more members some live member knows: a new member is not sent the records of dead ones."""
         return max([0, *(member.known_count - self.known_count for member in self._alive())])
 
     @property
     def knows_all(self) -> bool:
-        """Whether no other member is known to know more; never while no seed was heard, or while it stays out."""
+        """Return whether no live member knows more members; False while no seed has answered, or outside the fleet."""
         return self.received_any and not self.observing and not self.unlisted_count
 
     def bound(self) -> float:
-        """s within which the view settles after the last fault, without loss."""
+        """Return the seconds within which the view settles after the last fault, without datagram loss."""
         fleet = len(self.members) + 1
         return max(self.terms.detection_bound(fleet), self.terms.healing_bound(fleet))
 
-    # -- events in -------------------------------------------------------------------------------
+    # -- events -----------------------------------------------------------------------------
 
     def on_time(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Run all timers that are due."""
         self._awake(now)
         if self.leaving:
             self._next_probe = self._next_sync = self._next_seed = now + self.terms.period
@@ -231,7 +237,7 @@
         return self._done()
 
     def on_datagram(self, data: bytes, host: str, now: float) -> list[Action]:
-        """Take a datagram in.  What is not for this member, or is no datagram, changes nothing and is counted."""
+        """Process a datagram; one that is invalid or for another member is counted and changes nothing else."""
         self._awake(now)
         if not self.allowed(host):
             return self._ignore("network")
@@ -246,11 +252,12 @@
         if message.to not in ("", self.own_record.name):
             return self._ignore("not_me")
         if not self.allowed(sender.host):
-            return self._ignore("network")  # it would have us send there
+            return self._ignore("network")  # answers go to the address in the record
         previous = self.members.get(sender.name)
         if previous is not None and not message.observing:
             if sender.generation < previous.record.generation:
-                # Also a repeat of an earlier life's datagram.  A process whose clock was set back learns of it here.
+                # A duplicate from an earlier generation, or a process that restarted with its clock set back: the
+                # answer tells it which generation others know.
                 self._send(sender, wire.RECORDS, records=(previous.record,))
                 return self._ignore("earlier_life")
             if sender.generation == previous.record.generation and not self._fresh(previous, message.number):
@@ -266,7 +273,7 @@
         for record in message.records:
             self._merge(record, now)
         if message.observing and previous is not None:
-            # Whoever is about to join has to hear who had its name, and of which life.
+            # A process that is about to join must learn which generation of its name is known.
             self._send_to(
                 sender.address,
                 sender.name,
@@ -280,30 +287,32 @@
         return self._done()
 
     def on_service(self, service: Service, now: float) -> list[Action]:
-        """This process serves in another way from now on."""
+        """Publish a new service state of this process."""
         if service != self.own_record.service and not self.leaving:
             self._announce(now, service=int(service))
             self._event("changed", self.own_record, service.name.lower())
         return self._done()
 
     def on_print(self, fingerprint: str, now: float) -> list[Action]:
-        """Another file is in force."""
+        """Publish the fingerprint of a settings file that has come into force."""
         if fingerprint != self.own_record.print and not self.leaving:
             self.own_record = msgspec.structs.replace(self.own_record, print=fingerprint)
             self._announce(now)
         return self._done()
 
     def on_return(self, apart: int, numbers: int, now: float) -> list[Action]:
-        """Take part again after another process has done so in this life: beyond all that it may have said.
+        """Resume after a successor of a hot restart that had continued this generation has failed.
 
-        Else whatever is sent from here counts as repeated, and this member is dead to all others while it serves."""
+        `apart` and `numbers` are added to the incarnation and the sequence number, to exceed all that the successor may
+        have sent.  Otherwise others would discard the datagrams as repeated and declare this member dead.
+        """
         self.number += numbers
         self.own_record = msgspec.structs.replace(self.own_record, incarnation=self.own_record.incarnation + apart)
         self._announce(now)
         return self._done()
 
     def on_leave(self, now: float) -> list[Action]:
-        """Say goodbye, to as many as one may at once; the others hear it from those."""
+        """Leave the fleet; the record is sent to at most 32 members, and gossip carries it to the others."""
         if not self.leaving:
             if not self.observing:
                 self._announce(now, state=int(State.LEFT))
@@ -315,7 +324,7 @@
         return self._done()
 
     def on_forget(self, name: str, now: float) -> tuple[bool, list[Action]]:
-        """An operator says that a dead member will not come back; False where it lives or is not known."""
+        """Mark a dead member as LEFT for an operator; False where it is alive or not known."""
         member = self.members.get(name)
         if member is None or member.record.state < State.DEAD:
             return False, self._done()
@@ -323,10 +332,10 @@
             self._merge(msgspec.structs.replace(member.record, state=int(State.LEFT), by=self.own_record.name), now)
         return True, self._done()
 
-    # -- time ------------------------------------------------------------------------------------
+    # -- timers ----------------------------------------------------------------------------------
 
     def _awake(self, now: float) -> None:
-        """An instance that was stopped or starved must not take its own silence for that of the others."""
+        """Detect that this process was stopped or starved, and extend the timers that run against other members."""
         gap = now - self.due
         if gap <= PROBES_LATE * self.terms.period:
             return
@@ -337,7 +346,7 @@
         for member in self.members.values():
             member.suspect_since += gap
         self._next_probe = now + self.terms.answer_timeout * (1.0 + self._random.random())
-        self._next_sync = now  # the others may have gone on without it
+        self._next_sync = now  # the view is likely out of date
         if self._challenge is not None:
             number, rival, _, tries = self._challenge
             self._challenge = (number, rival, now + 2 * self.terms.answer_timeout, tries)
@@ -360,7 +369,7 @@
                 assert TRANSITIONS[State(state), Observation.AGED] is None
                 self._drop(name)
             elif now >= member.call_at:
-                # Ever more seldom, and never in step with the others that lost it.
+                # Exponential back-off with jitter, so that members do not contact it all at once.
                 member.call_gap = min(self.terms.max_call_interval, 2 * member.call_gap)
                 member.call_at = now + member.call_gap * (0.75 + 0.5 * self._random.random())
                 self.counts["calls"] += 1
@@ -387,10 +396,10 @@
     def _alive(self) -> list[Member]:
         return [member for member in self.members.values() if member.record.state < State.DEAD]
 
-    # -- joining, and names ------------------------------------------------------------------------
+    # -- joining and name conflicts ---------------------------------------------------------------------
 
     def _call_seeds(self, now: float) -> None:
-        """Those of the seeds at which nobody is known to live: at first often, then as seldom as the dead."""
+        """Contact the seeds whose addresses belong to no live member, with exponential back-off."""
         living = {member.record.address for member in self._alive()}
         for address in self.seeds:
             if address not in living:
@@ -402,7 +411,7 @@
         self._next_seed = now + self._seed_gap * (0.75 + 0.5 * self._random.random())
 
     def _consider_joining(self, now: float) -> None:
-        """A member once the others' view is known and nobody lives under this name, or nobody answers."""
+        """Join once other members are known and no other process has the name, or once no seed answered in time."""
         if self._challenge is None and self.rival is None:
             if not self.seeds or self.members or now >= self.born + self.terms.period:
                 self._join(now)
@@ -417,16 +426,16 @@
             self._compare(member, now)
 
     def _same_name(self, message: wire.Message, now: float) -> None:
-        """A datagram of a process under our own name."""
+        """Process a datagram of a process with this member's own name."""
         sender = message.sender
         if sender.address == self.own_record.address or sender.generation == self.own_record.generation:
-            self._ignore("own")  # one's own, repeated, or of an earlier life at this address
+            self._ignore("own")  # own datagram that came back, or one of an earlier generation at this address
             return
         if not self.allowed(sender.host):
             self._ignore("network")
             return
         if message.kind == wire.PING:
-            # Who is younger stays out.  One that is out already has seen us, and asks whether we live.
+            # The process with the greater generation stays out.  A sender that is out already only asks for an answer.
             self._contested(
                 sender,
                 out=not message.observing and sender.generation < self.own_record.generation and not self.observing,
@@ -436,7 +445,7 @@
         elif message.kind == wire.ACK and self._challenge is not None and message.probe == self._challenge[0]:
             self._challenge = None
             if message.observing:
-                # It stays out: our record has to win over what it told before.
+                # It stays out: the own record must take precedence over what it published before.
                 self._contested(sender, out=False, now=now)
                 if sender.generation > self.own_record.generation:
                     self._start_generation(sender.generation + 1, now)
@@ -454,7 +463,7 @@
         self._event("taken", other, "stays out" if self.observing else "the other stays out")
 
     def _challenge_rival(self, other: Record, now: float, tries: int = 3) -> None:
-        """Ask whether a process under our name still lives."""
+        """Send a PING to another process with this name, unless one is pending."""
         if self._challenge is None:
             number = self._next_number()
             self._challenge = (number, other, now + 2 * self.terms.answer_timeout, tries - 1)
@@ -469,7 +478,7 @@
         if tries > 0:
             self._challenge_rival(other, now, tries)
             return
-        # Nobody is there: the name is ours, as a new life of it.
+        # The other process is gone: take the name with a greater generation.
         if self.rival is not None:
             self._event("freed", other)
         self.rival = None
@@ -479,7 +488,7 @@
             self._join(now)
 
     def _start_generation(self, generation: int, now: float) -> None:
-        """A greater life: our clock was set back, or another was told of under our name."""
+        """Continue with a greater generation, as the clock was set back or others know another process of this name."""
         self.own_record = msgspec.structs.replace(self.own_record, generation=generation, incarnation=0)
         self.number = 0
         self._own_record_changed(now)
@@ -499,18 +508,18 @@
         self._own_record_changed(now)
 
     def _on_own_record(self, record: Record, now: float) -> None:
-        """What others say of this name."""
+        """Process a record of this member that others sent."""
         me = self.own_record
         if self.leaving:
             return
         if record.generation == me.generation and self.observing and not self._goes_on:
-            # Nobody can know of a life that has not joined: an earlier process had it, and a clock was set back.
+            # Others cannot know a generation that has not joined: an earlier process had it before a clock set-back.
             self._start_generation(me.generation + 1, now)
         elif record.generation == me.generation:
             if record.address != me.address and not self.observing:
                 self._challenge_rival(record, now)
             if record.state != State.ALIVE and record.incarnation >= me.incarnation and not self.observing:
-                # Refuted by a greater incarnation.  Others had no word from us: a sign that we are slow.
+                # Refute with a greater incarnation.  Being suspected is a sign that this instance is slow.
                 self.own_record = msgspec.structs.replace(me, incarnation=record.incarnation)
                 self._announce(now)
                 self.counts["refutations"] += 1
@@ -522,7 +531,7 @@
             self._on_other_generation(record, now)
 
     def _on_other_generation(self, record: Record, now: float) -> None:
-        """What others say of a life under this name that is not ours."""
+        """Process a record of this name with another generation."""
         me = self.own_record
         gone = record.state >= State.DEAD or record.address == me.address
         if gone:
@@ -542,7 +551,7 @@
                 self._probe = None
                 self._unanswered(probe, member, now)
             elif now >= probe.ask_at:
-                # The datagram or its answer may just be lost: once more, and by others' ways.
+                # The datagram or its answer may have been lost: repeat it, and ask others for indirect probes.
                 self._send(member.record, wire.PING, probe=probe.number)
                 helpers = [m for m in self._alive() if m is not member]
                 for helper in self._random.sample(helpers, min(HELPERS, len(helpers))):
@@ -563,7 +572,7 @@
             self._next_probe = now + self.terms.period
 
     def _next_target(self) -> Member | None:
-        """Each once in a round, the rounds in another order each: nobody is missed for longer than two of them."""
+        """Return the next member to probe: each once in a round, in random order, so within two rounds."""
         while True:
             if not self._round:
                 self._round = [member.record.name for member in self._alive()]
@@ -577,7 +586,7 @@
     def _unanswered(self, probe: _Probe, member: Member, now: float) -> None:
         self.counts["probes_unanswered"] += 1
         missing = probe.asked - probe.refused
-        # Helpers that do not even say no: it may well be this instance that hears nothing (Lifeguard).
+        # Helpers that sent not even a NACK: it may be this instance that receives nothing (Lifeguard).
         self.health = min(HEALTH_MOST, self.health + (1 if missing else 0))
         if member.record.state == State.ALIVE:
             record = msgspec.structs.replace(member.record, state=int(State.SUSPECT), by=self.own_record.name)
@@ -587,7 +596,7 @@
             self._confirm(member, self.own_record.name)
 
     def _confirm(self, member: Member, name: str) -> None:
-        """One more that suspects it: the more, the sooner it is believed."""
+        """Count another member that suspects it: each confirmation shortens the suspicion timeout."""
         if name and name not in member.suspected_by and len(member.suspected_by) <= HELPERS:
             member.suspected_by.add(name)
             member.record = msgspec.structs.replace(member.record, by=name)
@@ -603,7 +612,7 @@
                 self.health = max(0, self.health - 1)
                 self._next_probe = min(self._next_probe, now + self.terms.period * (1.0 + self.health))
             elif (favour := self._favours.pop(message.probe, None)) is not None:
-                # The answer is that member's own word: its record goes with it.
+                # Pass on the target's own record, which may refute a suspicion.
                 self._send(favour.sender, wire.ACK, probe=favour.number, target=sender.name, records=(sender,))
             elif (probe := self._probe) is not None and probe.number == message.probe and probe.name == message.target:
                 self._probe = None
@@ -614,7 +623,7 @@
                 self._send(sender, wire.NACK, probe=message.probe)
                 return
             number = self._next_number()
-            # A no in time lets the one that asks doubt the other and not itself.
+            # A timely NACK shows the asking member that its own connection works (Lifeguard).
             self._favours[number] = _Favour(sender, message.probe, now + 1.2 * self.terms.answer_timeout)
             self._send(target.record, wire.PING, probe=number)
         elif kind == wire.NACK:
@@ -626,7 +635,7 @@
     # -- records ---------------------------------------------------------------------------------------
 
     def _merge(self, record: Record, now: float) -> None:
-        """What somebody says of a member: taken where it is later than what is known."""
+        """Merge a received record into the view where it takes precedence over the known one."""
         if record.name == self.own_record.name:
             self._on_own_record(record, now)
             return
@@ -651,11 +660,11 @@
         elif record.order == member.record.order:
             if record.state == State.SUSPECT:
                 self._confirm(member, record.by)
-            if record.print and not member.record.print:  # what an older version left out
+            if record.print and not member.record.print:  # datagram version 1 has no fingerprint
                 member.record = msgspec.structs.replace(member.record, print=record.print)
 
     def _apply(self, member: Member, record: Record, seen: Observation, now: float) -> None:
-        """One step of the table, its events, and the gossip of it."""
+        """Apply a state transition, publish its event and queue the record for gossip."""
         before = member.record
         if (State(before.state), seen) not in TRANSITIONS:
             return
@@ -676,7 +685,7 @@
             member.suspected_by.add(record.by)
         if record.state >= State.DEAD:
             member.call_gap = self.terms.first_call_delay
-            # One that has left wanted to: it is not called.
+            # A member that left on purpose is not contacted again.
             member.call_at = now + member.call_gap if record.state == State.DEAD else inf
         if record.state != before.state or record.generation != before.generation:
             member.since = now
@@ -703,7 +712,7 @@
         self.changed_at = now
 
     def _look_settled(self, now: float) -> None:
-        """Whether all that live have told the same digest as ours last."""
+        """Update whether all live members last reported the digest of the local view."""
         alive = self._alive()
         settled = not self.observing and all(m.record.state == State.ALIVE and m.digest == self.digest for m in alive)
         if settled != self.settled:
@@ -712,7 +721,7 @@
                 self._event("settled", self.own_record, f"{len(alive) + 1} members, digest {self.digest:08x}")
 
     def _fresh(self, member: Member, number: int) -> bool:
-        """Whether a datagram of this number has not come before; what is too old to know counts as come."""
+        """Return whether the sequence number is new; one that is older than the window counts as a duplicate."""
         if number > member.newest:
             shift = number - member.newest
             member.seen_numbers = (member.seen_numbers << shift | 1) & (1 << WINDOW) - 1 if shift < WINDOW else 1
@@ -724,14 +733,14 @@
         member.seen_numbers |= 1 << back
         return True
 
-    # -- comparing views -------------------------------------------------------------------------------
+    # -- anti-entropy ------------------------------------------------------------------------------
 
     def _bucket_bytes(self) -> bytes:
-        """A checksum of the living in each bucket of names."""
+        """Return the checksums of the live records in each bucket of names."""
         if self._buckets is None:
             sums = [0] * BUCKETS
             for record in self.living():
-                # A sum of checksums: the same in whatever order.
+                # A sum does not depend on the order of the records.
                 sums[_bucket(record.name)] += crc32(f"{record.name} {record.order}".encode())
             self._buckets = b"".join((total & 0xFFFFFFFF).to_bytes(4, "big") for total in sums)
         return self._buckets
@@ -741,7 +750,7 @@
         self._send(member.record, wire.SYNC, buckets=self._bucket_bytes())
 
     def _compared(self, message: wire.Message) -> None:
-        """Tell what the other lacks; the first of the two messages is answered with our own checksums."""
+        """Send the records of the buckets that differ; a SYNC is also answered with the own checksums."""
         mine, theirs = self._bucket_bytes(), message.buckets
         if len(theirs) != len(mine):
             self.counts["garbage"] += 1
@@ -752,7 +761,7 @@
             for name, member in self.members.items()
             if _bucket(name) in differ and name != message.sender.name
         ]
-        # Who lives first: where not all fits, the next comparison goes on from there.
+        # Live members first; what does not fit is sent in a later exchange.
         records.sort(key=lambda record: (record.state >= State.DEAD, self._random.random()))
         if message.kind == wire.SYNC:
             sent = self._send(message.sender, wire.REPLY, buckets=mine, records=records, only=True)
@@ -763,7 +772,7 @@
                 return
             sent += self._send(message.sender, wire.RECORDS, records=records[sent:], only=True)
 
-    # -- datagrams out -----------------------------------------------------------------------------------
+    # -- sending datagrams -------------------------------------------------------------------------------
 
     def _next_number(self) -> int:
         return self._random.getrandbits(48)
@@ -778,11 +787,11 @@
         records: Iterable[Record] = (),
         only: bool = False,
     ) -> int:
-        """Send to a member; how many of the records went along.  `only`: these, and no gossip behind them."""
+        """Send a datagram to a member and return how many of `records` it holds; `only`: without gossip."""
         first = [record for record in records if record.name != to.name]
         member = self.members.get(to.name)
         if member is not None and (member.record.state != State.ALIVE or member.record.generation != to.generation):
-            first.insert(0, member.record)  # it has to hear first what is said of it, or of its name
+            first.insert(0, member.record)  # the receiver must first learn what is known of it, so that it can refute
         own = len(first)
         gossip = [] if only else self._chosen({record.name for record in first} | {to.name})
         sent = self._send_to(
@@ -804,7 +813,7 @@
         return min(sent, own)
 
     def _chosen(self, without: set[str]) -> list[Record]:
-        """Records to tell along, the least told first."""
+        """Return the records to send as gossip, those that were sent least often first."""
         if not self._gossip:
             return []
         names = sorted(
