--- a/thistleshore/releases/__init__.py
+++ b/thistleshore/releases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may be out: agreed by a majority of voters, and never freed because time has passed."""
+"""Coordination of outages and releases: a majority of voters grants places to be out; places never expire."""
--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -1,6 +1,6 @@
-"""What operators, and the keeper of this dispatcher, ask of one member about places, releases and the register.
+"""Admin calls of operators and of this dispatcher's keeper about places, releases and the register.
 
-Each answer is a table for JSON; its `status` is done, refused or no-majority.
+Each answer is a JSON object; its `status` is done, refused or no-majority.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from thistleshore.releases.register import NO_BALLOT, Accepted, Change, Unable, VoterState
 
 Answer = dict[str, Any]
-RELEASE_STATES = {"halt": "halted", "undo": "undoing", "resume": "resume"}  # calls, and the state that they ask for
+RELEASE_STATES = {"halt": "halted", "undo": "undoing", "resume": "resume"}  # requested state by call
 
 
 class ReleaseCalls:
-    """Answers the calls of one instance."""
+    """Answers the admin calls to one instance."""
 
     def __init__(self, releases: Releases) -> None:
         self.releases = releases
 
     async def on_call(self, name: str, words: Sequence[str]) -> Answer:
-        """The answer to one call."""
+        """Return the answer to one call."""
         try:
             return await self._answer(name, words)
         except NoMajority as problem:
@@ -59,7 +59,7 @@
         return _outcome(await self.releases.change(change))
 
     def _change(self, name: str, words: Sequence[str]) -> Change:
-        """What a call changes, where that is all that it does."""
+        """Return the change of the value that a call requests."""
         now, own_name = time.time(), self.releases.name
         match name:
             case "limits":
@@ -84,14 +84,14 @@
         return lambda value: places.begin(value, kind, name, number, self.releases.name, now)
 
     def _finish_change(self, kind: Kind, name: str, arrived: bool, words: Sequence[str], now: float) -> Change:
-        """One that was to change runs that version now; it failed to, with a reason, unless it has arrived."""
+        """Record the end of a version change: success if `arrived`, else a failure with its reason."""
         version, told, own_name = words[0].removeprefix("-"), " ".join(words[1:]), self.releases.name
         if arrived:
             return lambda value: waves.arrived(value, name, version, own_name, now, kind)
         return lambda value: waves.failed(value, name, version, told, own_name, now, kind)
 
     def _change_release_state(self, state: str, told: str, now: float) -> Change:
-        """Of the release that the register holds by then, whatever is known here."""
+        """Return a change of the state of whichever release is current when it is applied."""
 
         def change(value: Value) -> Value | Refusal:
             number = value.release.number if value.release is not None else 0
@@ -100,7 +100,7 @@
         return change
 
     async def _change_place(self, name: str, words: Sequence[str]) -> Answer:
-        """A place for a dispatcher or host to be out, or back."""
+        """Grant or free the place of a dispatcher or host."""
         if words[0] not in ("dispatcher", "host"):
             return {"status": "refused", "told": "dispatcher or host is wanted"}
         kind, which, reason = cast(Kind, words[0]), words[1], " ".join(words[2:])
@@ -119,7 +119,7 @@
     # -- the register itself -----------------------------------------------------------------------
 
     async def _begin(self) -> Answer:
-        """Begin the register, where none of its voters holds one."""
+        """Initialize the register if none of its voters holds one."""
         plan = self.releases.plan
         voters = tuple(sorted(plan.voters))
         found = await self.releases.ask_all(dict.fromkeys(voters, Learn()))
@@ -129,7 +129,7 @@
         begun = {(reply.register, reply.writes) for reply in holds.values()}
         if len(begun) > 1 or begun and (len(holds) == len(voters) or next(iter(begun))[1] > 1):
             return {"status": "refused", "told": f"{', '.join(holds)} hold a register already"}
-        # One that was begun at some, and of which nothing has been promised or accepted since, is begun at the rest.
+        # A register initialized at some voters, and unchanged since, is initialized at the rest.
         register = next(iter(begun))[0] if begun else random.SystemRandom().getrandbits(62) + 1
         value = next((reply.value for reply in holds.values()), None) or Value(1, voters, plan.limits)
         installs = {
@@ -145,7 +145,7 @@
         return {"status": "done", "number": 1}
 
     async def _reinstall_voter(self, name: str) -> Answer:
-        """Take a voter in again whose file was lost: out of the voters, its state anew, and in again."""
+        """Reinstall a voter whose file was lost: remove it from the voters, write a new state, and add it again."""
         if name not in self.releases.plan.voters:
             return {"status": "refused", "told": f"no voter of that name is in this instance's file: {name}"}
         now, own_name = time.time(), self.releases.name
@@ -163,7 +163,7 @@
         return await self._apply_change(lambda value: places.change_voter(value, name, True, own_name, now))
 
     async def _deposit_current_body(self, name: str, value: Value) -> str:
-        """Have a voter that is taken in hold the body of the version in force; why it does not, "" where it does."""
+        """Store the body of the version in force at a reinstalled voter; return the failure reason, or ""."""
         entry = value.configuration.current
         if entry is None:
             return ""
@@ -173,10 +173,10 @@
         reply = await self.releases.ask(name, Deposit(entry.digest, body))
         return "" if isinstance(reply, Deposited) else _failure_reason(reply)
 
-    # -- what is known here --------------------------------------------------------------------------
+    # -- state known here --------------------------------------------------------------------------
 
     def _describe_order(self) -> Answer:
-        """What the keeper of this dispatcher is to do."""
+        """Return the instructions to this dispatcher's keeper."""
         value = self.releases.known
         if value is None or not self.releases.has_recent_majority:
             return {"status": "no-majority", "told": "nothing is agreed now", "pid": os.getpid()}
@@ -191,7 +191,7 @@
         }
 
     def describe_release(self) -> Answer:
-        """The release as it is known here, who runs what, and why nothing goes on."""
+        """Return the release as known here, who runs which version, and what blocks it."""
         value, agreed = self.releases.known, self.releases.has_recent_majority
         if value is None or value.release is None:
             return {"agreed": value is not None and agreed, "release": None}
@@ -212,7 +212,7 @@
         }
 
     def _describe_hosts(self, value: Value) -> list[Answer]:
-        """Hosts that a release changes now."""
+        """Return the hosts that a release is changing now."""
         return [
             {
                 "host": place.name,
@@ -233,7 +233,7 @@
         return {**gate._asdict(), "verdict": gate.verdict.name.lower(), "told": gate.verdict.value}
 
     def state(self, kind: str, name: str) -> Answer:
-        """How far one that goes out is: `out` only once all that live have said that they send nothing there."""
+        """Return how far a member has gone out; a host is `out` once all live instances have reported it clear."""
         value, seen = self.releases.known, self.releases.observe()
         place = value.place(kind, name) if value is not None else None
         if place is None:
@@ -247,13 +247,13 @@
         return {"state": "begun" if late else "out", "waiting_for": late}
 
     def _is_clear(self, member: str, host: str, number: int) -> bool:
-        """Whether a member has acted on that change, and has nothing left at the host."""
+        """Return whether a member has applied that change and has no requests left at the host."""
         releases = self.releases
         report = releases.report() if member == releases.name else releases.reports.get(member)
         return report is not None and report.applied >= number and host in report.clear
 
     def describe(self) -> Answer:
-        """The value as it is known here, marked where no majority has said so lately."""
+        """Return the value as known here, and whether a majority has confirmed it recently."""
         value, voter = self.releases.known, self.releases.voter
         if value is None:
             return {"number": 0, "agreed": False, "places": [], "voters": []}
@@ -281,5 +281,5 @@
 
 
 def _failure_reason(reply: object) -> str:
-    """Why a voter did not do what it was asked."""
+    """Return why a voter did not do as requested."""
     return reply.why if isinstance(reply, Unable) else "no answer"
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -1,6 +1,6 @@
-"""The register over TCP: a voter's listener, the proposer that any instance is, and the task that follows the value.
+"""The register over TCP: the voter's listener, the proposer of each instance, and the task that follows the value.
 
-One question and one answer a connection.
+Each connection carries one request and one reply.
 """
 
 from __future__ import annotations
@@ -53,25 +53,25 @@
 
 log = logging.getLogger("thistleshore")
 
-ANSWER_TIMEOUT = 0.5  # s for a voter's answer
-CHANGE_TIMEOUT = 3.0  # s for a change, with all its rounds
-RETRY_PAUSES = (0.01, 0.08)  # s before a round that met another is made again, doubled each time
-POLL_INTERVAL = 0.25  # s between two looks at the value, by a voter, and by all while anything is under way
-IDLE_POLL_INTERVAL = 1.0  # s between two looks of an instance without a vote while nothing is under way
-REPORT_INTERVAL = 1.0  # s between two reports while nobody needs them; voters keep one for longer (REPORT_LIFETIME)
-BODY_CHECK_INTERVAL = 1.0  # s between two looks whether this voter holds the body of the version in force
+ANSWER_TIMEOUT = 0.5  # seconds for a voter's reply
+CHANGE_TIMEOUT = 3.0  # seconds for a change, including all its rounds
+RETRY_PAUSES = (0.01, 0.08)  # seconds before the retry of a round that lost to another, doubled each time
+POLL_INTERVAL = 0.25  # seconds between polls, by voters, and by all instances while a change is in progress
+IDLE_POLL_INTERVAL = 1.0  # seconds between polls by an instance without a vote while nothing is in progress
+REPORT_INTERVAL = 1.0  # seconds between reports while nothing is in progress; less than REPORT_LIFETIME
+BODY_CHECK_INTERVAL = 1.0  # seconds between checks that this voter stores the body of the version in force
 MAJORITY_VALIDITY = (
-    2.0  # s for which what a majority said counts as now: more than from one idle look to the next, with its answer
+    2.0  # seconds for which a majority's reply counts as current; longer than an idle poll and its reply
 )
-MAX_CONNECTIONS = 64  # connections at a time
+MAX_CONNECTIONS = 64  # concurrent connections
 
 
 class NoMajority(Exception):
-    """No majority of the voters answered in time; the text names who did not, and why."""
+    """No majority of the voters replied in time; the text names those that did not, and why."""
 
 
 class Latest(NamedTuple):
-    """The value of the highest ballot that a voter has told of, with what tells it apart from any other."""
+    """The value with the highest accepted ballot received, with the register and ballot that identify it."""
 
     register: int = 0
     ballot: Ballot = NO_BALLOT
@@ -79,7 +79,7 @@
 
 
 class Releases:
-    """One instance's part.  `standing` says what it sees; `ban` takes a host out at the module, or calls it back."""
+    """Takes part in the register for one instance: proposes changes, follows the value and applies it here."""
 
     def __init__(
         self,
@@ -96,31 +96,33 @@
         view: Callable[[], tuple[bool, bool]],
         bodies: BodyStore | None = None,
     ) -> None:
-        """`view` tells whether the view of the fleet is settled, and whether it has a majority; `bodies` is where this
-        instance keeps those of the configuration, if it votes."""
+        """Callbacks: `observe` returns what this instance sees; `ban` stops or resumes the use of a host; `is_clear`
+        tells whether this instance has no requests left at a host; `view` tells whether the fleet view is settled and
+        whether it has a majority.  `bodies` stores the configuration bodies, if this instance votes.
+        """
         self.figures, self.view, self.zones, self.driver = figures, view, zones, Driver()
         self.plan, self.name, self.generation, self.observe = plan, name, generation, observe
         self.ban, self.is_clear, self.ready, self.drain = ban, is_clear, ready, drain
         self.voter = Voter(name, Path(plan.folder), bodies) if plan.listen is not None else None
-        self.known: Value | None = None  # the latest that is known, agreed or not
-        self.agreed: Value | None = None  # the latest that a majority is known to hold
-        self.on_agreed: Callable[[Value], None] | None = None  # called when `agreed` moves on
-        self.majority_valid_until = 0.0  # until then a majority has said so
+        self.known: Value | None = None  # the latest known value, agreed or not
+        self.agreed: Value | None = None  # the latest value that a majority is known to hold
+        self.on_agreed: Callable[[Value], None] | None = None  # called with each new `agreed` value
+        self.majority_valid_until = 0.0  # until then `known` counts as confirmed by a majority
         self.applied = 0
         self.reports: dict[str, Report] = {}
-        self.hosts_out: set[str] = set()  # hosts that are out here by the register
+        self.hosts_out: set[str] = set()  # hosts that the register has taken out at this instance
         self._number, self.seen = 0, dict[str, int]()
         self._register = 0
         self._latest = Latest()
         self._reported_at = -inf
-        self._uncertain_ballot = NO_BALLOT  # a ballot that was accepted by some, when last looked
+        self._uncertain_ballot = NO_BALLOT  # ballot that only some voters had accepted at the last poll
         self._random = random.Random()
         self._aside = Aside()
 
     # -- questions and answers ----------------------------------------------------------------------
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Vote, and follow the value, until cancelled."""
+        """Vote and follow the value until cancelled."""
         task_status.started()
         await self._aside.run(self._take_part)
 
@@ -137,7 +139,7 @@
                 self.voter.close()
 
     def step_aside(self, aside: bool) -> None:
-        """The next process of a hot restart votes and follows in this one's place; or it has gone."""
+        """Let the successor of a hot restart vote and follow in place of this process, or resume if it has exited."""
         self._aside.turn(aside)
 
     async def _listen(self, address: Address) -> None:
@@ -165,13 +167,13 @@
         await trio.serve_listeners(serve, [listener])
 
     async def ask(self, voter: str, question: Question) -> Answer | None:
-        """A voter's answer; None where none came in time."""
+        """Return a voter's reply, or None if it did not arrive in time."""
         if voter == self.name and self.voter is not None:
             return self.voter.answer(question, trio.current_time())
         address = self.plan.voters.get(voter)
         if address is None:
             return Unable("this instance's file has no address of it")
-        # A file that is made anew takes a busy disk longer than one that is there.
+        # Creating a file takes longer on a busy disk than updating one.
         with trio.move_on_after(CHANGE_TIMEOUT if isinstance(question, Install | Deposit) else ANSWER_TIMEOUT):
             try:
                 async with await trio.open_tcp_stream(*address) as stream:
@@ -195,7 +197,10 @@
     # -- changes ----------------------------------------------------------------------------------------
 
     async def change(self, change: Change, timeout: float = CHANGE_TIMEOUT) -> Value | Refusal:
-        """Change the value, or be refused; NoMajority where neither came about (and it may yet, by another's round)."""
+        """Change the value and return it, or the refusal.
+
+        Raises NoMajority if neither was agreed in time; a round of another proposer may still complete the change.
+        """
         reason, wait = "no voter answered", RETRY_PAUSES[0]
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
         deadline = trio.current_time() + timeout
@@ -221,7 +226,7 @@
             if not self._register:
                 return Outcome("lost", reason="no voter holds the register; has it been begun?")
         self._number += 1
-        # Two processes never use one ballot: its second part names the life as well.
+        # The generation in the second part keeps the ballots of two processes of one name distinct.
         ballot = (self._number, f"{self.name}.{self.generation}")
         round_ = Round(self._register, voters, ballot, change, self.seen)
         send, receive = trio.open_memory_channel[tuple[str, Reply | None]](64)
@@ -250,13 +255,13 @@
 
     @property
     def register(self) -> int:
-        """Which register the voters hold; 0 until one of them has told it."""
+        """Identifier of the voters' register; 0 until a voter has reported it."""
         return self._register
 
     async def deposit(self, body: bytes) -> int:
-        """Have every voter that can be reached keep the body; how many do.
+        """Store a body at every reachable voter and return how many have stored it.
 
-        NoMajority where they are no majority of the voters: then no version of that body may be proposed.
+        Raises NoMajority if they are no majority: then no version with that body may be proposed.
         """
         voters = await self._voters()
         question = Deposit(digest_of(body), body)
@@ -269,7 +274,7 @@
                     del failed[voter]
                 case Unable(why=why):
                     failed[voter] = why
-            if 2 * len(held) > len(voters):  # the others have a moment more
+            if 2 * len(held) > len(voters):  # a majority is enough; the others get a little longer
                 scope = nursery.cancel_scope
                 scope.deadline = min(scope.deadline, trio.current_time() + ANSWER_TIMEOUT)
 
@@ -281,7 +286,7 @@
         return len(held)
 
     async def fetch_body(self, digest: str) -> bytes | None:
-        """The body of that digest, from the first voter that gives it whole."""
+        """Return the body with that digest from the first voter that has it, or None."""
         others = [voter for voter in await self._voters() if voter != self.name]
         self._random.shuffle(others)
         for voter in (self.name, *others) if self.voter is not None else others:
@@ -291,13 +296,13 @@
         return None
 
     async def _voters(self) -> tuple[str, ...]:
-        """Those of the latest value that is known; those of the file where none can be had."""
+        """Return the voters of the latest known value, or those of the settings if no value can be read."""
         if self.known is None:
             await self.poll_voters()
         return self.known.voters if self.known is not None else tuple(self.plan.voters)
 
     async def _keep_current_body(self, voter: Voter) -> None:
-        """Have this voter hold the body of the version in force, also where it missed the deposit."""
+        """Fetch the body of the version in force whenever this voter lacks it, for example after a missed deposit."""
         while True:
             await trio.sleep(BODY_CHECK_INTERVAL * self._random.uniform(0.75, 1.25))
             entry = self.known.configuration.current if self.known is not None else None
@@ -309,7 +314,7 @@
 
     @property
     def has_recent_majority(self) -> bool:
-        """Whether a majority has said that what is known here is what it holds."""
+        """Whether a majority has confirmed the known value within MAJORITY_VALIDITY."""
         return trio.current_time() <= self.majority_valid_until
 
     # -- following -----------------------------------------------------------------------------------------
@@ -325,14 +330,14 @@
                 self.majority_valid_until = trio.current_time() + MAJORITY_VALIDITY
 
     def _change_in_progress(self) -> bool:
-        """Whether anybody is out, or a release is not over: then it matters how far the others are."""
+        """Return whether anyone has a place or a release is unfinished; then the progress of others is needed."""
         value = self.known
         if value is None:
             return False
         return bool(value.places) or (value.release is not None and value.release.state not in waves.FINAL_STATES)
 
     def _learn_request(self) -> Learn:
-        """What this instance has and wants; with its own report, where one is due."""
+        """Return the poll request; it includes this instance's report if one is due."""
         now, wanted = trio.current_time(), self._change_in_progress()
         report = None
         if wanted or now >= self._reported_at + REPORT_INTERVAL:
@@ -341,10 +346,10 @@
         return Learn(report, self.seen, latest.register, latest.ballot, wanted)
 
     def _poll_pause(self) -> float:
-        """Seconds to the next look: voters have to hear of a change at once, as they tell the fleet of it.
+        """Return the seconds to the next poll, with random jitter.
 
-        Others look less often also where no voter has answered yet: many that ask again at once would keep the voters
-        busy, and be the reason why none is answered.
+        Voters poll often, as they pass changes on to the fleet.  Other instances poll less often, also before any voter
+        has replied: frequent retries by many instances would overload the voters, so that none gets a reply.
         """
         changing = self.known is not None and (self.known != self.agreed or self.applied != self.known.number)
         pause = (
@@ -353,12 +358,12 @@
         return pause * self._random.uniform(0.75, 1.25)
 
     def report(self) -> Report:
-        """How far this instance is, as voters are told."""
+        """Return this instance's progress, as sent to the voters."""
         clear = tuple(host for host in sorted(self.hosts_out) if self.is_clear(host))
         return Report(self.name, self.generation, self.applied, clear, self.figures())
 
     async def poll_voters(self) -> None:
-        """Ask all voters what they hold, and tell them how far this instance is."""
+        """Read the state of all voters, and send them this instance's report if one is due."""
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
         before = self._latest
         found = await self.ask_all(dict.fromkeys({*voters, *self.plan.voters}, self._learn_request()))
@@ -388,8 +393,8 @@
                 if reply.accepted == latest.accepted and voter in latest.value.voters]  # fmt: skip
         agreed = 2 * len(same) > len(latest.value.voters)
         if not agreed and 2 * len(set(voting) & set(latest.value.voters)) > len(latest.value.voters):
-            # Accepted by some: whether by a majority is for a round to say, which also brings the others up.  Only
-            # where it stays so: a round now would cross the one that is under way.
+            # Accepted by some voters only: a round decides whether it is agreed, and updates the others.  Wait for a
+            # second poll with the same ballot, as a round now would conflict with the one in progress.
             if latest.accepted != self._uncertain_ballot:
                 self._uncertain_ballot = latest.accepted
                 return
@@ -411,7 +416,7 @@
             await trio.sleep(self._poll_pause())
 
     async def apply(self) -> None:
-        """Do here what the value says."""
+        """Apply the value at this instance: hosts that are out, and this dispatcher's own place."""
         value = self.known
         if value is None:
             return
@@ -423,12 +428,12 @@
         self.applied = value.number
         place = value.place("dispatcher", self.name)
         if place is None or not self.has_recent_majority:
-            return  # without a majority that says so now, nobody begins
+            return  # a drain begins only with a recent majority
         if place.release:
-            return  # its keeper takes it, and says what became of the change: until then nobody else may go out
+            return  # the keeper uses this place and reports the result; until then it stays taken
         if place.begun or place.generation != self.generation:
             if place.generation != self.generation and self.ready():
-                # Its holder serves again: what was a place to be out is of no use any more.
+                # A later generation of the holder is ready: free the place.
                 back = "serves again"
                 await self.change(lambda v: places.free(v, "dispatcher", self.name, back, self.name, time.time()))
         elif not self.drain.is_set():
@@ -442,8 +447,11 @@
     # -- the release -------------------------------------------------------------------------------------------
 
     def is_leader(self, seen: FleetObservation) -> bool:
-        """Whether it is this instance that carries a release forward: the first by name of those that are ready and
-        have reported to the voters lately.  Two that think so meet in the register."""
+        """Return whether this instance advances the release.
+
+        The leader is the first by name of the instances that are ready and have reported recently.  If two instances
+        consider themselves leader, the register resolves the conflict.
+        """
         live = [name for name in seen.dispatchers if name not in seen.dispatchers_down and name in self.reports]
         return bool(live) and min(live) == self.name
 
--- a/thistleshore/releases/driver.py
+++ b/thistleshore/releases/driver.py
@@ -1,7 +1,7 @@
-"""What carries a release forward: the next change to propose, and the gate's figures out of what instances report.
+"""Advances a release: chooses the next change to propose, and feeds the gate with the figures of all instances.
 
-Sans-IO.  Every instance keeps one and feeds it, so that the death of the one that acts loses no evidence; who acts is
-decided by the carrier (`leads`).
+Sans-IO.  Every instance runs a driver, so that no evidence is lost when the leader dies; only the leader
+(`Releases.is_leader`) proposes the changes.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 from thistleshore.releases.gate import Gate, GateResult, GateSettings, Tally, Verdict
 from thistleshore.releases.model import FleetObservation, Refusal, Release, Value
 
-INTERVAL = 1.0  # s of one comparison
-WARM_UP = 2.0  # s from the first word of a process for which it tells nothing: one that has just started is slower
-MAX_UNSETTLED = 15.0  # s for which a view that is not settled only holds a release
-MAX_OVER_LIMIT = 15.0  # s for which more that are out than the limit allows only hold it
+INTERVAL = 1.0  # seconds of one comparison
+WARM_UP = 2.0  # seconds after a process's first report for which it is ignored, as new processes are slower
+MAX_UNSETTLED = 15.0  # seconds for which an unsettled view only pauses a release; then it halts
+MAX_OVER_LIMIT = 15.0  # seconds for which more members out than allowed only pause it; then it halts
 
-# Since a start: asked, answered in time, refused, of those in time within the aim, and by one upstream request.
+# Since the start: requests, answered in time, rejected; of those in time: within the aim, with one upstream request.
 Counts = tuple[int, int, int, int, int]
 
 
-HostCounts = tuple[int, int, int]  # upstream requests that ended, those with a result, those within the aim
+HostCounts = tuple[int, int, int]  # upstream requests: ended, successful, successful within the aim
 
 
 class Figures(NamedTuple):
-    """What one process tells of itself: which version it is, which start of it, and its counts by class."""
+    """Report of one process: its name, start identifier, version, and counts by class and by host."""
 
     name: str
     boot: int
     version: str
     classes: Mapping[str, Counts]
-    hosts: Mapping[str, HostCounts] = {}  # noqa: RUF012 - of its upstream requests there
+    hosts: Mapping[str, HostCounts] = {}  # noqa: RUF012 - of its upstream requests to each host
 
 
 class DriverInput(NamedTuple):
-    """What the instance sees as of now."""
+    """What the instance observes now: members, state of the view, and the figures of all processes."""
 
     standing: FleetObservation
     settled: bool
@@ -45,14 +45,14 @@
 
 
 class Step(NamedTuple):
-    """A change to propose, and why."""
+    """A change to propose, and the reason for it."""
 
     change: Callable[[Value, str, float], Value | Refusal]
     reason: str
 
 
 def tallies(difference: Mapping[str, Iterable[Counts]]) -> dict[str, Tally]:
-    """The strata of one group in one interval, out of counts by class."""
+    """Return the tallies of one group in one interval by stratum, from the counts by class."""
     result: dict[str, Tally] = {}
 
     def add(stratum: str, tries: int, good: int) -> None:
@@ -70,22 +70,22 @@
 
 
 class Driver:
-    """One instance's; `next_step` takes what is agreed and seen, and gives the next change, or None and says why."""
+    """The driver of one instance.  `next_step` returns the next change, or None and sets `blocked_by`."""
 
     def __init__(self) -> None:
-        self.blocked_by = ""  # why nothing goes on now
-        self.gate_result: GateResult | None = None  # the gate's last word
-        self._release = (0, -1)  # the release and wave that the gate is about
+        self.blocked_by = ""  # reason for not advancing now
+        self.gate_result: GateResult | None = None  # last result of the gate
+        self._release = (0, -1)  # release and wave of the gate
         self._gate: Gate | None = None
         self._counts: dict[tuple[str, int], Mapping[str, Counts]] = {}
-        self._hosts_updated_at: dict[str, float] = {}  # since when each has the new version
+        self._hosts_updated_at: dict[str, float] = {}  # when each host got the new version
         self._host_counts: dict[tuple[str, int], Mapping[str, HostCounts]] = {}
-        self._first_report_at: dict[tuple[str, int], float] = {}  # when each process was first heard of
+        self._first_report_at: dict[tuple[str, int], float] = {}  # time of the first report of each process
         self._last_interval_at = 0.0
         self._problems_since: dict[str, float] = {}
-        self._places_since: dict[int, float] = {}  # since when each place of the release is known here
+        self._places_since: dict[int, float] = {}  # when each place of the release was first seen here
         self._nothing_to_compare = False
-        self._wave_updated_at: float | None = None  # since when nobody of the wave is left to change
+        self._wave_updated_at: float | None = None  # when the whole wave had the new version
 
     def next_step(self, value: Value, seen: DriverInput, now: float) -> Step | None:
         release = value.release
@@ -93,7 +93,7 @@
             self.blocked_by, self._release, self._gate, self._places_since = "", (0, -1), None, {}
             self._problems_since.clear()
             self._hosts_updated_at, self._host_counts = {}, {}
-            self._counts = {}  # what comes while it is halted is no evidence of what follows
+            self._counts = {}  # counts during a halt are no evidence for later intervals
             return None
         number = release.number
         self._feed_gate(value, release, seen, now)
@@ -108,10 +108,10 @@
             return None
         return self._next(value, release, seen, now)
 
-    # -- what holds it, and what halts it
+    # -- pause and halt
 
     def _halt_reason(self, value: Value, seen: DriverInput, now: float) -> str:
-        """A reason to halt; `held` says what only holds it for a while."""
+        """Return the reason to halt, or ""; sets `blocked_by` for problems that only pause the release so far."""
         assert value.release is not None
         down = seen.standing.dispatchers_down
         with_place = {place.name for place in value.places if place.kind == "dispatcher"}
@@ -168,7 +168,7 @@
             verdict is not Verdict.FINE or now - self._wave_updated_at < release.enough
         ):
             self.blocked_by = (
-                f"the gate: {Verdict.WAIT.value}"  # and a wave is looked at for so long after its last one
+                f"the gate: {Verdict.WAIT.value}"  # also until `enough` has passed since the last change of the wave
             )
             return None
         if last:
@@ -179,19 +179,19 @@
     # -- the gate
 
     def _feed_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
-        """Feed the gate of the wave under way with what came since the last interval."""
+        """Feed the gate of the current wave with the counts since the last interval."""
         if release.state != "going":
             self._gate = self.gate_result = None
             return
         if self._release != (release.number, release.wave):
-            # A gate for each wave: what was fine with few is asked again with more.
+            # Each wave has its own gate, as more members with the new version may behave differently.
             self._release, self._gate, self.gate_result = (release.number, release.wave), None, None
         if release.kind == "host":
             self._feed_host_gate(value, release, seen, now)
             return
         new = release.version.name
         runs = {figures.name: figures.version == new for figures in seen.figures}
-        # Where all have it there is none to compare with: those who are left had it before this release.
+        # With all members on the new version there is no group to compare with.
         self._nothing_to_compare = bool(runs) and all(runs.values()) and not waves.remaining(value)
         if now - self._last_interval_at < INTERVAL:
             return
@@ -205,7 +205,7 @@
             counts[key] = figures.classes
             before = self._counts.get(key)
             if before is None or now - self._first_report_at.setdefault(key, now) < WARM_UP:
-                continue  # where counting begins
+                continue  # baseline for later differences
             has_new = figures.version == new
             here: dict[str, list[Counts]] = {}
             for name, row in figures.classes.items():
@@ -231,7 +231,7 @@
         self._judge(release, pairs, now, members)
 
     def _feed_host_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
-        """Ticket workers of the new version against those without it, as all dispatchers saw them."""
+        """Compare ticket workers with and without the new version, by the counts of all dispatchers."""
         new = {name for name in release.former if value.version_of("host", name) == release.version.name}
         self._nothing_to_compare = not set(release.former) - new
         for name in new:
@@ -245,7 +245,7 @@
             key = figures.name, figures.boot
             counts[key] = figures.hosts
             for name, row in figures.hosts.items():
-                # One that has just come back is cold, which is no fault of its version.
+                # Skip hosts that have just restarted: they are cold, whatever their version.
                 if (
                     name not in release.former
                     or key not in self._counts
--- a/thistleshore/releases/faults.py
+++ b/thistleshore/releases/faults.py
@@ -1,7 +1,7 @@
-"""Fault points: named places at which a test has a process die.  Dead under `-O`.
+"""Fault points: named places in the code at which a test can kill the process.  Disabled under `-O`.
 
-`THISTLESHORE_FAULT=NAME@FILE` has it killed at the first pass of the point NAME; FILE is made then, and while it is
-there nobody dies again.
+`THISTLESHORE_FAULT=NAME@FILE` kills the process the first time it reaches the point NAME and creates FILE; while FILE
+exists, no process is killed again.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def point(name: str) -> None:
-    """Pass a named place."""
+    """Kill the process here if the environment selects this fault point."""
     if __debug__:
         wanted, _, file = os.environ.get("THISTLESHORE_FAULT", "").partition("@")
         if wanted == name and file:
--- a/thistleshore/releases/figures.py
+++ b/thistleshore/releases/figures.py
@@ -1,4 +1,4 @@
-"""What one process counts of itself for the gate, once each answer is written: by class, since its start."""
+"""Counts of one process for the gate: per class since its start, updated when each answer is written."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Counter:
-    """One process's counts, under the version that its keeper has named."""
+    """Counters of one process, labelled with the version that its keeper has set."""
 
     def __init__(self, name: str, boot: int, version: str, names: Sequence[str], classes: Sequence[JobClass]) -> None:
         self.name, self.boot, self.version, self.names, self.classes = name, boot, version, names, classes
@@ -20,9 +20,9 @@
         self.hosts: dict[str, list[int]] = {}
 
     def add(self, stream: Stream, began: float) -> None:
-        """A stream is over: answered, or its client has gone away."""
+        """Count a stream that has ended: answered, or abandoned by its client."""
         if stream.job_class >= len(self.names):
-            return  # of a class that came with a later file
+            return  # a class added by a later settings file
         row, now = self.counts[self.names[stream.job_class]], trio.current_time()
         row[0] += 1
         if isinstance(stream.answer, Served) and now <= stream.deadline:
@@ -32,7 +32,7 @@
         row[2] += isinstance(stream.answer, LocalReply)
 
     def add_attempt(self, request: UpstreamRequest, status: Status, took: float) -> None:
-        """An upstream request has ended; one that was called off tells nothing."""
+        """Count an upstream request that has ended, unless it was cancelled."""
         if request.cancelled or request.stream.job_class >= len(self.classes):
             return
         row = self.hosts.setdefault(request.host.id.decode(), [0, 0, 0])
@@ -42,7 +42,7 @@
             row[2] += took <= self.classes[request.stream.job_class].aim
 
     def figures(self) -> Figures:
-        """As of now."""
+        """Return the current counts."""
         classes: dict[str, Counts] = {
             name: (row[0], row[1], row[2], row[3], row[4]) for name, row in self.counts.items()
         }
--- a/thistleshore/releases/gate.py
+++ b/thistleshore/releases/gate.py
@@ -1,13 +1,13 @@
-"""Is a new version worse?  Those with it against those without it in the same intervals, by a sequential test.
+"""A sequential test of whether a new version is worse than the old one, measured in the same intervals.
 
-Sans-IO: counts of both groups in, a verdict out.  A surge, a slow pool or a bad link hits both groups in the same
-interval, so that only the difference between them counts.  Each stratum (a class, a member, or all together) has tests
-of its own; a regression of one class only would drown in the whole.
+Sans-IO: takes the counts of both groups and returns a verdict.  A surge, a slow pool or a bad link affects both groups
+in the same interval, so only the difference between them counts.  Each stratum (a class, a member, or all together) is
+tested separately, as the total would hide a regression of a single class.
 
-The test is a mixture sequential probability ratio test of the difference of two shares (normal approximation): it
-may be looked at after every interval, and stopped at any time, and still the chance of calling a version worse that is
-not, over the whole life of a wave, is at most `error`, divided among the strata (Bonferroni).  A version counts as
-worse only where its share is lower by more than `margin`: a difference that nobody would undo a release for is none.
+The test is a mixture sequential probability ratio test of the difference of two shares (normal approximation).  It may
+be evaluated after every interval and stopped at any time; the false positive probability over a whole wave is at most
+`error`, divided among the strata (Bonferroni).  A version counts as worse only if its share is lower by more than
+`margin`, as smaller differences do not justify a rollback.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 
 
 class GateSettings(NamedTuple):
-    """What counts as worse, and with what chance of being wrong."""
+    """Settings of the test: which difference counts as worse, and the probability of a false positive."""
 
-    error: float = 0.01  # over all strata, and over the whole wave
-    margin: float = 0.02  # of a share: so much worse is not yet worse
-    typical_difference: float = 0.08  # the difference that the test is tuned for; others are found too, later
-    min_tries: int = 50  # tries in each group before a stratum says anything
-    min_duration: float = 30.0  # s after which a wave that nothing speaks against may go on
-    max_duration: float = 300.0  # s after which it is said that too few came to tell
+    error: float = 0.01  # false positive probability over all strata and the whole wave
+    margin: float = 0.02  # largest decrease of a share that still passes
+    typical_difference: float = 0.08  # difference that is detected fastest; others take longer
+    min_tries: int = 50  # tries in each group before a stratum is evaluated
+    min_duration: float = 30.0  # seconds before a wave may pass
+    max_duration: float = 300.0  # seconds after which too few tries give UNTOLD
 
 
 class Tally(NamedTuple):
-    """Tries of one group in one stratum and interval: how many, and how many were good (in time, first answer, ...)."""
+    """Tries of one group in one stratum and interval, and how many were good (in time, at the first attempt, ...)."""
 
     tries: int
     good: int
 
 
 class Verdict(Enum):
+    """Outcome of the gate so far."""
+
     WAIT = "too little to tell yet"
     FINE = "nothing speaks against it"
     WORSE = "worse"
@@ -44,19 +46,21 @@
 
 
 class GateResult(NamedTuple):
+    """A verdict, and for WORSE the stratum and figures behind it."""
+
     verdict: Verdict
     stratum: str = ""
     old: float = 0.0  # share of good tries without the new version
-    new: float = 0.0  # and with it
-    tries: int = 0  # with it
-    chance: float = 1.0  # of as much where it is no worse
+    new: float = 0.0  # share of good tries with it
+    tries: int = 0  # number of tries with it
+    chance: float = 1.0  # p-value of the difference if the version is no worse
 
 
 class Stratum:
-    """Sums of both groups, pooled over intervals by the weight of the smaller group in each.
+    """Sums of both groups, pooled over intervals with weights limited by the smaller group.
 
-    Shares are compared interval by interval, so that a change that comes to both does not count, whatever part of the
-    tries each group has before and after it.
+    Shares are compared within each interval, so a change that affects both groups does not count, even if the groups'
+    parts of the tries change at the same time.
     """
 
     __slots__ = ("difference", "members", "new", "old", "p_value", "settings", "variance", "weight")
@@ -64,12 +68,12 @@
     def __init__(self, settings: GateSettings) -> None:
         self.settings = settings
         self.old, self.new = Tally(0, 0), Tally(0, 0)
-        self.members: dict[str, Tally] = {}  # of those without the new version, one by one
+        self.members: dict[str, Tally] = {}  # each member without the new version
         self.weight = self.difference = self.variance = 0.0
         self.p_value = 1.0
 
     def add(self, old: Tally, new: Tally) -> None:
-        """One interval of both groups; one in which either had nothing tells nothing."""
+        """Add one interval of both groups; it has no weight if either group has no tries."""
         self.old = Tally(self.old.tries + old.tries, self.old.good + old.good)
         self.new = Tally(self.new.tries + new.tries, self.new.good + new.good)
         if not old.tries or not new.tries:
@@ -81,15 +85,16 @@
         self.variance += weight * pooled * (1.0 - pooled)
 
     def add_member(self, name: str, tally: Tally) -> None:
-        """One interval of one that has the old version."""
+        """Add one interval of one member with the old version."""
         before = self.members.get(name, Tally(0, 0))
         self.members[name] = Tally(before.tries + tally.tries, before.good + tally.good)
 
     def overdispersion(self) -> float:
-        """How far those with the old version differ from one another, over what chance gives: 1 is as by chance.
+        """Return the variance between members with the old version, relative to the binomial variance; at least 1.
 
-        Requests of one process are not independent (it refuses in bursts, by its own view of the pressure): what tells
-        equals apart so far is no fault of a version."""
+        Requests of one process are not independent, as it rejects in bursts by its own view of the pressure.  Members
+        with the same version differ that much, so it must not count against the new version.
+        """
         rows = [row for row in self.members.values() if row.tries >= self.settings.min_tries // 2]
         tries, good = sum(row.tries for row in rows), sum(row.good for row in rows)
         if len(rows) < 2 or not 0 < good < tries:
@@ -99,7 +104,10 @@
         return max(1.0, chi_square / (len(rows) - 1))
 
     def update_p_value(self) -> float:
-        """The chance of a difference such as this, or greater at any look, where the new one is no worse."""
+        """Update and return the always-valid p-value.
+
+        This is the probability of such a difference at any evaluation if the new version is no worse.
+        """
         if min(self.old.tries, self.new.tries) < self.settings.min_tries or not self.weight:
             return self.p_value
         variance = self.variance * self.overdispersion()
@@ -111,13 +119,13 @@
             ratio = sqrt(variance / total_variance) * exp(
                 min(700.0, prior_variance * self.weight**2 * excess**2 / (2.0 * variance * total_variance))
             )
-            # Half of the mixture lies on the side of worse: the ratio of that half alone is at most twice this.
+            # Half of the mixture lies on the side of worse, so the ratio of that half alone is at most twice this one.
             self.p_value = min(self.p_value, 1.0 / ratio if ratio > 0.0 else inf)
         return self.p_value
 
 
 class Gate:
-    """One wave's gate.  `on_interval` takes the tallies of one interval by stratum, and says what they come to."""
+    """The gate of one wave.  `on_interval` adds the tallies of one interval and returns the result so far."""
 
     def __init__(self, strata: Iterable[str], settings: GateSettings, now: float) -> None:
         self.settings, self.started_at = settings, now
@@ -130,9 +138,10 @@
         now: float,
         members: Mapping[str, Mapping[str, Tally]] | None = None,
     ) -> GateResult:
-        """Tallies without and with the new version, and those without it member by member.
+        """Add tallies without and with the new version, and those without it by member, and return the result.
 
-        Once worse, always worse: a wave is not gated twice."""
+        WORSE is final for the wave.
+        """
         for member, strata in (members or {}).items():
             for name, tally in strata.items():
                 if name in self.strata:
--- a/thistleshore/releases/keeper.py
+++ b/thistleshore/releases/keeper.py
@@ -1,7 +1,7 @@
-"""A keeper's decisions: one dispatcher, started and started again, and replaced as the fleet has agreed.
+"""The state machine of a keeper: starts and restarts one dispatcher, and replaces it as the fleet has agreed.
 
-Sans-IO: what ended, what answers and what is ordered come in with the time; out come actions, and the state that has to
-be on the disk before they are carried out.  A process is known by its id and its time of birth.
+Sans-IO: takes process exits, readiness and orders with the time, and returns actions; its state must be on disk before
+they are carried out.  A process is identified by its id and its start time.
 """
 
 from __future__ import annotations
@@ -14,26 +14,27 @@
 
 from thistleshore.releases.model import INITIAL_VERSION, Version
 
-BACK_OFF = (0.5, 30.0)  # s before a crashed dispatcher is started again: the first, and the most
-REPEAT_CALL_PAUSE = 1.0  # s before the fleet is told once more what it has not taken
+BACK_OFF = (0.5, 30.0)  # seconds before a crashed dispatcher is started again: first, maximum
+REPEAT_CALL_PAUSE = 1.0  # seconds before a call to the fleet without an answer is repeated
 
 Phase = Literal["down", "alone", "beside", "trial", "ending", "back", "over"]
 
 
 class Child(msgspec.Struct, frozen=True):
-    """A process that was started: its id and birth (0: it is being started), and what it was started as."""
+    """A process: its version, id and start time in clock ticks since boot (0: not started yet)."""
 
-    version: Version | None  # None: the keeper's own
+    version: Version | None  # None: that of the keeper's settings
     pid: int = 0
     born: int = 0
 
     @property
     def name(self) -> str:
+        """Name of its version."""
         return INITIAL_VERSION if self.version is None else self.version.name
 
 
 class KeeperState(msgspec.Struct, frozen=True):
-    """What is on the disk: who serves, who comes beside it, and how far that is."""
+    """The durable state: the serving process, its replacement if any, and the phase of the replacement."""
 
     serving: Child
     newcomer: Child | None = None
@@ -41,7 +42,7 @@
 
 
 class Plan(NamedTuple):
-    """Times in seconds, see [keep]."""
+    """Time-outs and crash limits, see KeepPlan.  Times are in seconds."""
 
     ready: float = 15.0
     trial: float = 10.0
@@ -51,7 +52,7 @@
 
 
 class Order(NamedTuple):
-    """What the fleet has agreed on for this dispatcher: a version, and the place to take it by (0: none yet)."""
+    """The fleet's instructions: this dispatcher's version, and the place to change by (0: none yet)."""
 
     version: Version | None
     place: int
@@ -59,17 +60,21 @@
 
 
 class Start(NamedTuple):
+    """Start a process, alone or beside the serving one."""
+
     child: Child
     beside: bool
 
 
 class End(NamedTuple):
+    """Signal a process to end."""
+
     pid: int
     kill: bool = False  # SIGKILL; else SIGTERM, and it drains
 
 
 class FleetCall(NamedTuple):
-    """To the fleet, by the dispatcher that serves: takes, arrived or failed."""
+    """A call to the fleet through the serving dispatcher: takes, arrived or failed."""
 
     what: str
     words: tuple[str, ...]
@@ -79,19 +84,19 @@
 
 
 class Keeper:
-    """One dispatcher's.  `kept` is to be written whenever it has changed, before the actions are carried out."""
+    """Keeps one dispatcher.  `state` must be written whenever it has changed, before the actions are carried out."""
 
     def __init__(self, plan: Plan, state: KeeperState | None, alive: frozenset[int], now: float) -> None:
-        """`kept` is what the keeper before left, and `alive` which of its processes live."""
+        """`state` is that of the previous keeper, and `alive` the ids of its processes that still run."""
         self.plan, self.now = plan, now
         self.state = state or KeeperState(Child(None))
-        self.stopping = False  # it is told to end
-        self.failure = ""  # why it does not go on
+        self.stopping = False  # on_stop was called
+        self.failure = ""  # reason for giving up
         self._crashes: deque[float] = deque()
         self._next_start_at, self._back_off = now, BACK_OFF[0]
-        self._answered = False  # whoever is waited for has answered
-        self._phase_deadline = inf  # when the phase is over
-        self._pending_call: FleetCall | None = None  # until the fleet has taken it
+        self._answered = False  # the awaited process has answered
+        self._phase_deadline = inf  # end of the phase
+        self._pending_call: FleetCall | None = None  # repeated until the fleet answers
         self._next_call_at = -inf
         self._pending_order: Order | None = None
         self._starting = False
@@ -105,12 +110,12 @@
             self._enter_phase(state.phase, state.serving, state.newcomer)
             self._answered = state.phase != "beside"
             if state.phase in ("ending", "back"):
-                # What was on the disk may not have been done.
+                # The state was written, but the signal may not have been sent.
                 self._deferred_actions = [End(state.serving.pid if state.phase == "ending" else state.newcomer.pid)]
         elif new_alive and state.newcomer is not None:
-            self._enter_alone(state.newcomer, "arrived")  # the one before has gone meanwhile
+            self._enter_alone(state.newcomer, "arrived")  # the old process has exited meanwhile
         elif old_alive:
-            # One that was not ready, or had not even begun, is begun again, by the place that is held.
+            # A replacement that was not ready yet is started again with the same place.
             call = {"back": "arrived", "trial": "failed", "ending": "failed"}.get(state.phase, "")
             self._enter_alone(state.serving, call, "its keeper found it gone")
         else:
@@ -143,14 +148,14 @@
     def _queue_call(self, what: str, child: Child, why: str = "") -> None:
         self._pending_call, self._next_call_at = FleetCall(what, (f"-{child.name}", *why.split())), -inf
 
-    # -- what happens
+    # -- events
 
     def on_time(self, now: float) -> list[Action]:
-        """Whatever is due."""
+        """Return the actions that are due."""
         self.now, actions, self._deferred_actions = now, self._deferred_actions, []
         state = self.state
         if self.stopping and now >= self._phase_deadline:
-            # One that hangs in its drain must not keep its keeper, and whoever waits for that, for ever.
+            # A process that hangs in its drain must not block the keeper and whoever waits for it.
             self._phase_deadline = inf
             children = (state.serving, state.newcomer)
             return [End(child.pid, kill=True) for child in children if child is not None and child.pid]
@@ -160,7 +165,7 @@
             self._starting = True
             actions.append(Start(state.serving, False))
         elif state.phase == "beside" and state.newcomer is not None and now >= self._phase_deadline:
-            actions.append(End(state.newcomer.pid, kill=True))  # its end is heard of, and is a failure
+            actions.append(End(state.newcomer.pid, kill=True))  # on_ended will report the failure
             self._phase_deadline = inf
         elif state.phase == "trial" and now >= self._phase_deadline:
             self._enter_phase("ending", state.serving, state.newcomer)
@@ -176,7 +181,7 @@
         return actions
 
     def on_started(self, child: Child, beside: bool, now: float) -> list[Action]:
-        """A process has been started."""
+        """Handle the start of a process."""
         self.now, self._starting, self._answered = now, False, False
         if beside:
             self._enter_phase("beside", self.state.serving, child)
@@ -185,7 +190,7 @@
         return []
 
     def on_not_started(self, beside: bool, why: str, now: float) -> list[Action]:
-        """Its command could not be run."""
+        """Handle a command that could not be run."""
         self.now, self._starting = now, False
         if beside:
             self._queue_call("failed", self.state.serving, why)
@@ -194,7 +199,7 @@
         return []
 
     def on_ready(self, pid: int, now: float) -> list[Action]:
-        """The process of that id answers PING with yes."""
+        """Handle a successful PING of the process with that id."""
         self.now, state = now, self.state
         if state.phase == "beside" and state.newcomer is not None and state.newcomer.pid == pid:
             self._enter_phase("trial", state.serving, state.newcomer)
@@ -203,14 +208,14 @@
         return []
 
     def on_ended(self, pid: int, status: int | None, now: float) -> list[Action]:
-        """A process has gone; its status where it was this keeper's own child."""
+        """Handle the exit of a process; `status` is None unless it was a child of this keeper."""
         self.now, state = now, self.state
         outcome = "it ended" if status is None else f"it ended with status {status}"
         if state.newcomer is not None and pid == state.newcomer.pid:
             if state.phase == "back":
                 self._enter_alone(state.serving, "arrived")
             elif state.phase == "ending":
-                # The one before drains by now and cannot serve again.
+                # The old process is draining and cannot serve again.
                 self._enter_down(state.serving, "failed", f"{outcome} after its trial")
             else:
                 when = "before it was ready" if state.phase == "beside" else "within its trial"
@@ -219,18 +224,18 @@
             if state.newcomer is not None and state.phase in ("trial", "ending"):
                 self._enter_alone(state.newcomer, "arrived")
             elif state.newcomer is not None:
-                # It died before the newcomer had served, or while that drains: start anew, beside nobody.
+                # It died before the new process served, or while that one drains: start again with neither.
                 self._enter_down(state.serving, "failed", "the one before it ended meanwhile")
                 return [End(state.newcomer.pid, kill=True)]
             elif status == 0:
-                self._enter_down(state.serving)  # it was asked to drain: whoever asked has it back
+                self._enter_down(state.serving)  # it was asked to drain and is started again
             else:
                 self._enter_down(state.serving)
                 self._crashed(now)
         return []
 
     def _crashed(self, now: float) -> None:
-        """A pause before the next start that grows; too many and there is none."""
+        """Back off before the next start, or give up after too many crashes."""
         self._crashes.append(now)
         while self._crashes and self._crashes[0] < now - self.plan.span:
             self._crashes.popleft()
@@ -240,7 +245,7 @@
         self._back_off = min(BACK_OFF[1], 2 * self._back_off)
 
     def on_order(self, order: Order, now: float) -> list[Action]:
-        """What the fleet has agreed on, heard from the dispatcher that serves."""
+        """Handle the fleet's instructions, as received from the serving dispatcher."""
         self.now, state = now, self.state
         wanted = INITIAL_VERSION if order.version is None else order.version.name
         if self.stopping or self.failure or self._pending_call is not None or self._starting:
@@ -248,16 +253,16 @@
         if state.phase == "alone":
             if wanted == state.serving.name:
                 if order.place:
-                    self._queue_call("arrived", state.serving)  # it has what it is to have: no place is needed
+                    self._queue_call("arrived", state.serving)  # it runs the target version: the place can be freed
             elif order.place and not order.begun:
                 self._pending_order, self._pending_call = order, FleetCall("takes", (str(order.place),))
                 self._next_call_at = now + REPEAT_CALL_PAUSE
                 return [self._pending_call]
             elif order.place:
-                return self._start_newcomer(order)  # a keeper before this one took it
+                return self._start_newcomer(order)  # a previous keeper has begun this place
         elif state.phase in ("beside", "trial") and state.newcomer is not None and wanted == state.serving.name:
             if state.newcomer.name != wanted and order.place:
-                # Undone while it is on trial: the one before serves again.
+                # The release was undone during the trial: the old process serves again.
                 newcomer = state.newcomer
                 self._enter_phase("back", state.serving, newcomer)
                 return [End(newcomer.pid)]
@@ -268,7 +273,7 @@
         return [Start(Child(order.version), True)]
 
     def on_call_result(self, call: FleetCall, status: str, now: float) -> list[Action]:
-        """The fleet's answer: done, refused, or none for lack of a majority (then it is told again)."""
+        """Handle the fleet's answer; the call is repeated unless it is done or refused."""
         self.now = now
         if call != self._pending_call or status not in ("done", "refused"):
             return []
@@ -283,7 +288,7 @@
         return []
 
     def on_stop(self, now: float) -> list[Action]:
-        """This keeper and its dispatcher are to end: all drain."""
+        """End the keeper: drain all its processes."""
         self.now, self.stopping, state = now, True, self.state
         self._phase_deadline = now + self.plan.end
         ends: list[Action] = [End(state.serving.pid)] if state.serving.pid else []
--- a/thistleshore/releases/keeping.py
+++ b/thistleshore/releases/keeping.py
@@ -1,6 +1,6 @@
-"""Carries a keeper out: starts processes, watches them by pidfd, asks them over the admin interface, writes its state.
+"""Runs a keeper: starts processes, watches them by pidfd, calls them over the admin interface, and writes its state.
 
-The processes are in sessions of their own and outlive the keeper: the next one finds them by its state.
+The processes run in their own sessions and outlive the keeper; the next keeper finds them by the state file.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 log = logging.getLogger("thistleshore")
 
 FILE, LOCK, OUTPUT = "keeper.json", "keeper.lock", "dispatcher.log"
-POLL_INTERVAL = 0.2  # s between two questions
-ANSWER_TIMEOUT = 1.0  # s for an answer
-CHANGE_TIMEOUT = 6.0  # s for one that takes an agreement
-# It waits for the word to go on until the keeper has written down which process it is; a keeper that dies before that
-# leaves nobody of whom the next one does not know.
+POLL_INTERVAL = 0.2  # seconds between polls
+ANSWER_TIMEOUT = 1.0  # seconds
+CHANGE_TIMEOUT = 6.0  # seconds, for a call that changes the register
+# The child waits for a byte on stdin, which the keeper sends once its id is in the state file.  If the keeper dies
+# before, the child exits, so no process runs that the next keeper does not know of.
 LAUNCHER = (
     "import os, sys\nif not os.read(0, 1): sys.exit(1)\nos.dup2(os.open(os.devnull, os.O_RDONLY), 0)\n"
     "os.execvp(sys.argv[1], sys.argv[1:])"
@@ -46,11 +46,11 @@
 
 
 class Busy(Exception):
-    """Another keeper keeps it."""
+    """Another keeper holds the lock."""
 
 
 def start_ticks(pid: int) -> int:
-    """When a process was started, in the kernel's ticks since boot; 0 where it is gone, or a corpse."""
+    """Return the start time of a process in clock ticks since boot; 0 if it does not exist or is a zombie."""
     try:
         state, *fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -59,12 +59,12 @@
 
 
 def is_running(child: Child) -> bool:
-    """Whether that very process lives: ids are used again."""
+    """Return whether that process runs; its start time distinguishes it from a later one with the same id."""
     return child.pid > 0 and start_ticks(child.pid) == child.born
 
 
 def read(folder: Path) -> KeeperState | None:
-    """What the keeper before left, None where there is nothing; ValueError where it is spoilt."""
+    """Return the state of the previous keeper, or None if there is none.  Raises ValueError if it is corrupt."""
     try:
         return msgspec.json.decode((folder / FILE).read_bytes(), type=KeeperState)
     except FileNotFoundError:
@@ -74,10 +74,11 @@
 
 
 def forbidden_reason(version: Version | None, plan: KeepPlan) -> str:
-    """Why a keeper does not start a version; "" where it may.
+    """Return why a version must not be started here; "" if it may.
 
-    Whoever reaches the admin interface or the register names commands: what runs here is for this machine's file to
-    say, word by word, as an interpreter that is allowed with any words would run anything."""
+    Anyone with access to the admin interface or the register can name commands.  The settings of this machine therefore
+    allow commands word by word, as an interpreter with arbitrary arguments could run anything.
+    """
     words = version.command if version is not None else ()
     fits = (len(pattern) == len(words) and all(map(fnmatchcase, words, pattern)) for pattern in plan.allow)
     if words and not any(fits):
@@ -94,7 +95,10 @@
     """One keeper: it holds its folder's lock while it lives."""
 
     def __init__(self, plan: KeepPlan, file: str, admin: Address) -> None:
-        """Busy where another keeper has the folder; ValueError where its state is spoilt; OSError where it is none."""
+        """Lock the folder and read the state.
+
+        Raises Busy if another keeper holds it, ValueError if its state is corrupt, OSError if it is unusable.
+        """
         self.plan, self.file, self.admin, self.folder = plan, file, admin, Path(plan.folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -116,7 +120,7 @@
             log.info("keeper: adopted %s", ", ".join(map(str, sorted(alive))))
 
     async def run(self, stop: trio.Event) -> int:
-        """Keep until `ends` is set and all have drained (0), or until they crash in a loop (3)."""
+        """Run until `stop` is set and all processes have drained (status 0), or until the crash limit (status 3)."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for child in (self.keeper.state.serving, self.keeper.state.newcomer):
@@ -144,7 +148,7 @@
         return 3 if self.keeper.failure else 0
 
     async def _poll(self) -> None:
-        """Who answers, and what the fleet orders."""
+        """Poll the serving process: whether it is ready, and the fleet's instructions."""
         if self.keeper.state.phase == "down":
             return
         order = await self._ask("order")
@@ -160,7 +164,7 @@
     # -- actions
 
     async def _carry_out(self, actions: list[Action]) -> None:
-        """One after another, each once the state that leads to it is on the disk."""
+        """Carry out actions in order, each after the state that led to it is on disk."""
         self._write()
         for action in actions:
             if isinstance(action, Start):
@@ -260,7 +264,7 @@
         if phase != before and phase in POINTS:
             point(POINTS[phase])
 
-    # -- questions
+    # -- admin calls
 
     async def _ask(self, what: str, timeout: float = ANSWER_TIMEOUT) -> dict[str, Any] | None:
         answer = await call(self.admin, f"FLEET {what}", timeout)
--- a/thistleshore/releases/messages.py
+++ b/thistleshore/releases/messages.py
@@ -1,7 +1,7 @@
-"""What goes between instances and the voters of the register: the messages, and their form in a stream.
+"""Messages between instances and the voters of the register, and their framing.
 
-A message is four bytes of length and MessagePack.  A field that is added has a default, so that older programs, which
-pass over what they do not know, and newer ones understand each other.
+A frame is a four-byte length and a MessagePack message.  Added fields must have defaults: older programs ignore fields
+that they do not know, and newer ones use the default for missing fields.
 """
 
 from __future__ import annotations
@@ -20,66 +20,66 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What an instance says of itself with each look: up to which change it has acted, and where it sends no more."""
+    """Progress of one instance: the last change that it has applied, and the hosts that it no longer uses."""
 
     name: str
     generation: int = msgspec.field(name="life")
     applied: int
-    clear: tuple[str, ...] = ()  # hosts that are out and at which nothing of it is left
+    clear: tuple[str, ...] = ()  # hosts that are out and have no requests of it in flight
     figures: Figures | None = None
 
 
 class Learn(msgspec.Struct, frozen=True, tag=True):
-    """What do you hold?  With a report, where the asker is an instance that follows."""
+    """Request for a voter's current value; carries the report of an instance that follows the register."""
 
     report: Report | None = None
-    seen: dict[str, int] = {}  # noqa: RUF012 - how many writes of each voter the asker knows of
-    register: int = 0  # that the asker follows; 0: none yet
-    holds: Ballot = NO_BALLOT  # the ballot whose accepted value the asker has: it need not be sent again
+    seen: dict[str, int] = {}  # noqa: RUF012 - highest write count of each voter known to the sender
+    register: int = 0  # that the sender follows; 0: none yet
+    holds: Ballot = NO_BALLOT  # ballot of the value that the sender has, which need not be sent again
     wants_reports: bool = True
 
 
 class Known(msgspec.Struct, frozen=True, tag=True):
-    """What a voter holds, whether it votes, and what instances reported to it lately."""
+    """Reply to Learn: the voter's value, whether it votes, and recent reports of instances."""
 
     accepted: Ballot
     value: Value | None
     register: int
     writes: int
-    why: str  # "" where it votes
+    why: str  # reason for not voting; "" if it votes
     reports: tuple[Report, ...] = ()
-    seen: dict[str, int] = {}  # noqa: RUF012 - how many writes of each voter this one knows of
-    unchanged: bool = False  # the value is the one that the asker has, and is left out
+    seen: dict[str, int] = {}  # noqa: RUF012 - highest write count of each voter known to this one
+    unchanged: bool = False  # the sender has the value already, so it is left out
 
 
 class Install(msgspec.Struct, frozen=True, tag=True):
-    """Begin the register, or take a voter in again: all that it is to hold."""
+    """Request to initialize a voter's state, or to replace it when a voter is reinstalled."""
 
     held: VoterState
-    begin: bool  # only where nothing ever was
+    begin: bool  # initialize: only if the voter never had a state
 
 
 class Deposit(msgspec.Struct, frozen=True, tag=True):
-    """Keep this body of configuration; answered by Deposited, or by Unable."""
+    """Request to store a configuration body; answered by Deposited or Unable."""
 
     digest: str
     body: bytes
 
 
 class Deposited(msgspec.Struct, frozen=True, tag=True):
-    """The body is durable at this voter."""
+    """Reply to Deposit: the body is durable at this voter."""
 
     digest: str
 
 
 class FetchBody(msgspec.Struct, frozen=True, tag=True):
-    """Give the body of that digest; answered by Body, or by Unable."""
+    """Request for the body with that digest; answered by Body or Unable."""
 
     digest: str
 
 
 class Body(msgspec.Struct, frozen=True, tag=True):
-    """A body of configuration as a voter holds it."""
+    """Reply to FetchBody: a stored configuration body."""
 
     digest: str
     body: bytes
@@ -92,7 +92,7 @@
 
 
 async def read(stream: trio.SocketStream) -> bytes:
-    """The next message, undecoded; EOFError where the stream ends, or the message is too long."""
+    """Return the next message, undecoded.  Raises EOFError if the stream ends or the message is too long."""
     data = b""
     while len(data) < FRAME.size or len(data) < FRAME.size + FRAME.unpack_from(data)[0]:
         if len(data) >= FRAME.size and FRAME.unpack_from(data)[0] > MAX_FRAME_BYTES:
@@ -105,6 +105,6 @@
 
 
 async def write(stream: trio.SocketStream, message: object) -> None:
-    """Send a message."""
+    """Send one framed message."""
     data = msgspec.msgpack.encode(message)
     await stream.send_all(FRAME.pack(len(data)) + data)
--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -1,4 +1,4 @@
-"""The one value that the fleet agrees on: the limits, who is out and for what, who votes, and what was done last."""
+"""The value that the fleet agrees on: limits, places, voters, the release, the configuration and a change history."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 ReleaseState = Literal["going", "halted", "undoing", "done", "undone"]
 VERSION_NAME = r"^[A-Za-z0-9._-]{1,40}$"
-INITIAL_VERSION = ""  # the version that a keeper's own file names
+INITIAL_VERSION = ""  # the command and file of the keeper's own settings
 
 
 def version_key(kind: str, name: str) -> str:
-    """Under which the version of a dispatcher or host is kept: no name has a space in it."""
+    """Return the key in `Value.runs` of a dispatcher or host.  Names contain no space, so the keys are distinct."""
     return name if kind == "dispatcher" else f"{kind} {name}"
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many may be out at once: a number, or a share of those that are known, which allows one at least."""
+    """How many may be out at once: a number, or a share of the known members, which allows at least one."""
 
     dispatchers: Limit = 1
     hosts: Limit = "20%"  # of each service
@@ -34,53 +34,56 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Leave to be out.  `number` is that of the change that gave it: a later place has a greater one."""
+    """Permission for a dispatcher or host to be out.
+
+    `number` is the number of the change that granted it, so later places have greater numbers.
+    """
 
     kind: Kind
     name: str
     reason: str
-    by: str  # the instance that asked
+    by: str  # the instance that requested it
     number: int
     service: str = ""
     zone: str = ""
-    generation: int = msgspec.field(name="life", default=0)  # of a dispatcher, when it was given
+    generation: int = msgspec.field(name="life", default=0)  # of a dispatcher, when the place was granted
     begun: bool = False
-    release: int = 0  # of the release that it is for: the keeper goes, the dispatcher does not drain by itself
+    release: int = 0  # number of its release, 0: none; then the keeper replaces the process, which does not drain itself
 
 
 class Version(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a dispatcher is started as: a command in front of `serve --config FILE`, and that file."""
+    """How to start a dispatcher: the command before `serve --config FILE`, and FILE."""
 
     name: Annotated[str, msgspec.Meta(pattern=VERSION_NAME)]
-    command: tuple[str, ...] = ()  # the keeper's own where there is none
+    command: tuple[str, ...] = ()  # empty: the command of the keeper's settings
     file: str = ""
 
 
 class Release(msgspec.Struct, frozen=True):
-    """The release under way, or the last one."""
+    """The release in progress, or the last one."""
 
-    number: int  # of the change that began it
+    number: int  # of the change that started it
     version: Version
     waves: tuple[tuple[str, ...], ...]
-    former: dict[str, str]  # the version that each runs before it
+    former: dict[str, str]  # version of each member before the release
     by: str
     reason: str
     kind: Kind = "dispatcher"
-    act: tuple[str, ...] = ()  # of hosts: what brings {version} to {host}; by hand where there is none
+    act: tuple[str, ...] = ()  # command that installs {version} on {host}; empty: by hand
     state: ReleaseState = "going"
     wave: int = 0
-    told: str = ""  # why it is in that state
-    halted_in: str = "going"  # what it goes on with when it is resumed
-    worse: Literal["undo", "halt"] = "undo"  # what the gate's word comes to
-    within: float = 90.0  # s for one dispatcher, from its place to its new version
-    enough: float = 30.0  # s that a wave is looked at
-    bound: float = 300.0  # s after which too few requests to tell halt it
-    margin: float = 0.02  # of a share: so much worse is not yet worse
-    error: float = 0.01  # chance of calling a clean version worse, a wave
+    told: str = ""  # reason for the state
+    halted_in: str = "going"  # state to return to on resume
+    worse: Literal["undo", "halt"] = "undo"  # reaction to a WORSE verdict of the gate
+    within: float = 90.0  # seconds for one dispatcher, from its place to its new version
+    enough: float = 30.0  # seconds for which a wave is observed
+    bound: float = 300.0  # seconds after which too few requests for a verdict halt it
+    margin: float = 0.02  # largest decrease of a share that still passes
+    error: float = 0.01  # false positive probability of the gate, per wave
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
-    """One change, for the history; `when` is Unix time by the clock of the instance that made it."""
+    """One change of the value; `when` is Unix time by the clock of the proposing instance."""
 
     number: int
     what: str
@@ -91,7 +94,7 @@
 
 
 class ConfigurationEntry(msgspec.Struct, frozen=True):
-    """One version of the configuration, without its body; `when` is Unix time at the instance that pushed it."""
+    """One version of the configuration, without its body; `when` is Unix time of the pushing instance."""
 
     number: int
     digest: str  # of the body, see `distribution.model.digest_of`
@@ -99,28 +102,31 @@
     by: str
     reason: str
     when: float
-    against: int  # the version that was in force before it
-    restored: int = 0  # the version whose body a rollback brought back; 0: none
+    against: int  # the version in force before it
+    restored: int = 0  # the version whose body a rollback restored; 0: not a rollback
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """The version in force, and the latest ones, oldest first.  Version numbers are their own, not those of `Value`."""
+    """The configuration version in force and the latest versions, oldest first.
+
+    Version numbers are independent of `Value.number`.
+    """
 
-    number: int = 0  # 0: none was pushed yet
-    history: tuple[ConfigurationEntry, ...] = ()  # MAX_CONFIGURATIONS at most
+    number: int = 0  # 0: no version was pushed yet
+    history: tuple[ConfigurationEntry, ...] = ()  # at most MAX_CONFIGURATIONS
 
     @property
     def current(self) -> ConfigurationEntry | None:
-        """The entry of the version in force."""
+        """Return the entry of the version in force."""
         return self.history[-1] if self.history else None
 
 
 class Value(msgspec.Struct, frozen=True):
-    """`number` grows with each change, and with nothing else.
+    """The agreed value; `number` increases by one with each change.
 
-    Files and messages of a program without `configuration` decode with its default.  The other way round, such a
-    program drops the field and writes the value back without it: every voter and every proposer (any instance with
-    `[fleet.register]`) must run a program that knows it before the first version is pushed.
+    Files and messages of programs without `configuration` decode with its default.  Such a program drops the field when
+    it writes a value back.  Before the first version is pushed, every voter and proposer (any instance with
+    `[fleet.register]`) must therefore run a program that knows the field.
     """
 
     number: int
@@ -129,20 +135,21 @@
     places: tuple[Place, ...] = ()
     history: tuple[HistoryEntry, ...] = ()
     release: Release | None = None
-    runs: dict[str, str] = {}  # noqa: RUF012 - the version of each, by `version_key`; INITIAL_VERSION where it is not named
-    versions: dict[str, Version] = {}  # noqa: RUF012 - those that runs, the release or its way back name
+    runs: dict[str, str] = {}  # noqa: RUF012 - version by `version_key`; INITIAL_VERSION if missing
+    versions: dict[str, Version] = {}  # noqa: RUF012 - all that `runs` or the release refer to
     configuration: Configuration = Configuration()
 
     def version_of(self, kind: str, name: str) -> str:
-        """What it runs, as far as it was told."""
+        """Return the last reported version of a dispatcher or host."""
         return self.runs.get(version_key(kind, name), INITIAL_VERSION)
 
     def place(self, kind: str, name: str) -> Place | None:
+        """Return the place of a dispatcher or host, if it has one."""
         return next((place for place in self.places if place.kind == kind and place.name == name), None)
 
 
 class FleetObservation(NamedTuple):
-    """What the asking instance sees: who there is (hosts: service and zone), and who is down without having asked."""
+    """What one instance observes: known members (hosts: service and zone), and who is down."""
 
     dispatchers: dict[str, int]  # lives by name
     dispatchers_down: frozenset[str]
@@ -151,7 +158,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why not: the limit and all who are out under it."""
+    """Why a change was refused: the limit, how many it allows, and who is out under it."""
 
     limit: str
     allowed: int
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -1,7 +1,7 @@
-"""Who may go out, and why not: pure functions from a value and what is seen to the next value, or a refusal.
+"""Places to be out, as pure functions from a value and an observation to the next value or a refusal.
 
-A place is given only while the limit holds, with whoever is down without having asked counted as out.  It is freed when
-its holder is seen to serve again, or when an operator gives it up, and by nothing else.
+A place is granted only within the limits, where members that are down without a place count as out.  It is freed only
+when its holder serves again or an operator frees it, never by a time-out.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def max_allowed(limit: Limit, known: int) -> int:
-    """How many of so many; a share that comes to less than one allows one, but 0 % none."""
+    """Return how many of `known` members a limit allows; a share allows at least one, except 0 %."""
     if isinstance(limit, int):
         return limit
     share = int(limit[:-1])
@@ -34,13 +34,14 @@
 
 
 def with_change(value: Value, what: str, name: str, reason: str, by: str, when: float, **fields: object) -> Value:
+    """Return the next value: the given fields replaced, and the change added to the history."""
     entry = HistoryEntry(value.number + 1, what, name, reason[:MAX_REASON_LENGTH], by, when)
     history = (*value.history, entry)[-MAX_HISTORY:]
     return msgspec.structs.replace(value, number=value.number + 1, history=history, **fields)
 
 
 def _limit_refusal(limit: str, bound: Limit, known: Iterable[str], out: Iterable[str], name: str) -> Refusal | None:
-    """A refusal where one more than those that are out would be too many."""
+    """Return a refusal if one more member out would exceed the limit."""
     others = tuple(sorted(set(out) - {name}))
     maximum = max_allowed(bound, len(set(known) | set(others) | {name}))
     if len(others) < maximum:
@@ -51,7 +52,7 @@
 def grant(
     value: Value, kind: Kind, name: str, reason: str, by: str, seen: FleetObservation, when: float, release: int = 0
 ) -> Value | Refusal:
-    """A place for it.  Whoever has one already keeps it, and the value is as before."""
+    """Grant a place; a member that has one keeps it, and the value is unchanged."""
     if value.place(kind, name) is not None:
         return value
     if len(value.places) >= MAX_PLACES:
@@ -94,7 +95,7 @@
 
 
 def begin(value: Value, kind: Kind, name: str, number: int, by: str, when: float) -> Value | Refusal:
-    """Its holder goes out now; only by the very place that it was given."""
+    """Mark a place as begun: its holder goes out now.  `number` must be that of the place."""
     place = value.place(kind, name)
     if place is None or place.number != number:
         return Refusal("place", 0, (), f"{name} has no place of number {number}")
@@ -105,7 +106,7 @@
 
 
 def free(value: Value, kind: Kind, name: str, reason: str, by: str, when: float) -> Value | Refusal:
-    """It is back, or an operator gives its place up."""
+    """Free a place: its holder is back, or an operator frees it."""
     place = value.place(kind, name)
     if place is None:
         return Refusal("place", 0, (), f"{kind} {name} has no place")
@@ -114,12 +115,12 @@
 
 
 def set_limits(value: Value, limits: Limits, by: str, when: float) -> Value | Refusal:
-    """Other limits from now on.  Nobody who is out is called back; nobody else goes out while there are too many."""
+    """Set the limits.  Places are kept even beyond a lowered limit, but none is granted until it holds again."""
     return value if limits == value.limits else with_change(value, "limits", "", "", by, when, limits=limits)
 
 
 def change_voter(value: Value, name: str, votes: bool, by: str, when: float) -> Value | Refusal:
-    """One voter more, or one fewer."""
+    """Add or remove one voter."""
     if votes == (name in value.voters):
         return value
     voters = (*value.voters, name) if votes else tuple(v for v in value.voters if v != name)
--- a/thistleshore/releases/plan.py
+++ b/thistleshore/releases/plan.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of the register and of this dispatcher's keeper."""
+"""Settings of the register and of this dispatcher's keeper, from the operator's file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasesPlan:
-    """Who votes on who may be out, where; `listen` and `folder` where this instance is one of them."""
+    """Settings of the register: voters and limits; `listen` and `folder` only if this instance votes."""
 
     voters: Mapping[str, Address]
     limits: Limits
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepPlan:
-    """How `thistleshore keep` keeps this dispatcher.  Times in seconds."""
-
-    folder: str  # what it does, written before it does it
-    command: tuple[str, ...] = ()  # in front of `serve --config FILE`; this program where there is none
-    allow: tuple[tuple[str, ...], ...] = ()  # commands of versions that it starts: a pattern for each word
-    files: tuple[str, ...] = ()  # patterns of the files that those may have
-    ready: float = 15.0  # for a process to answer PING
-    trial: float = 10.0  # that a newcomer serves while the one before could still take its place
-    end: float = 15.0  # for a drain, before SIGKILL
-    crashes: int = 5  # within `span`: then it is not started again
+    """Settings of `thistleshore keep`.  Times are in seconds."""
+
+    folder: str  # of the keeper's state, which is written before each action
+    command: tuple[str, ...] = ()  # before `serve --config FILE`; empty: this program
+    allow: tuple[tuple[str, ...], ...] = ()  # commands of versions that may be started: a pattern for each word
+    files: tuple[str, ...] = ()  # patterns of their configuration files
+    ready: float = 15.0  # time-out for a new process to answer PING
+    trial: float = 10.0  # time for which the new process serves while the old one can still take over
+    end: float = 15.0  # time-out of a drain, before SIGKILL
+    crashes: int = 5  # within `span`, after which it is not started again
     span: float = 60.0
--- a/thistleshore/releases/register.py
+++ b/thistleshore/releases/register.py
@@ -1,11 +1,12 @@
-"""The register as two sans-IO machines: a voter's acceptor, and one proposer's round (CASPaxos).
+"""The register as two sans-IO state machines (CASPaxos): a voter's acceptor and one round of a proposer.
 
-A round asks the voters to promise its ballot, takes the value of the highest ballot that any of them has accepted,
-changes it, and asks them to accept the result.  Two majorities of one set of voters share a voter, so whatever was
-accepted by one is seen by the next.  A change of voters is accepted by a majority of the old and of the new set.
+A round asks the voters to promise its ballot, takes the value with the highest accepted ballot among their replies,
+changes it, and asks the voters to accept the result.  Any two majorities of one set of voters share a voter, so a round
+sees every value that an earlier majority accepted.  A change of voters must be accepted by a majority of both the old
+and the new set.
 
-What an acceptor has promised or accepted is durable before it answers: `on_*` return the state to be written, and the
-answer that may leave only then.
+An acceptor makes each promise and acceptance durable before it replies: `on_prepare` and `on_accept` return the state
+to write, and the reply to send once it is written.
 """
 
 from __future__ import annotations
@@ -17,31 +18,35 @@
 
 from thistleshore.releases.model import Refusal, Value
 
-Ballot = tuple[int, str]  # a number, and who proposes
+Ballot = tuple[int, str]  # number and proposer
 NO_BALLOT: Ballot = (0, "")
 Change = Callable[[Value], Value | Refusal]
-HasBody = Callable[[str], bool]  # whether the body of that digest is on this voter's disk
+HasBody = Callable[[str], bool]  # whether this voter stores the body with that digest
 
 
 class VoterState(msgspec.Struct, frozen=True):
     """A voter's durable state."""
 
-    register: int  # drawn when the register was begun
+    register: int  # random identifier, drawn when the register is initialized
     voter: str
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
     value: Value | None = None
-    writes: int = 0  # of this voter, ever
-    seen: dict[str, int] = {}  # noqa: RUF012 - how many writes of each other voter are known of
+    writes: int = 0  # number of state writes of this voter since the register was initialized
+    seen: dict[str, int] = {}  # noqa: RUF012 - highest known write count of each other voter
 
 
 class Prepare(msgspec.Struct, frozen=True, tag=True):
+    """Request to promise a ballot (phase 1)."""
+
     register: int
     ballot: Ballot
     seen: dict[str, int] = {}  # noqa: RUF012
 
 
 class Accept(msgspec.Struct, frozen=True, tag=True):
+    """Request to accept a value with a ballot (phase 2)."""
+
     register: int
     ballot: Ballot
     value: Value
@@ -49,6 +54,8 @@
 
 
 class Promise(msgspec.Struct, frozen=True, tag=True):
+    """Reply to Prepare: the ballot is promised; carries the last accepted ballot and value."""
+
     ballot: Ballot
     accepted: Ballot
     value: Value | None
@@ -57,18 +64,20 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag=True):
+    """Reply to Accept: the value is accepted and durable."""
+
     ballot: Ballot
     writes: int
 
 
 class Rejected(msgspec.Struct, frozen=True, tag=True):
-    """Another ballot was promised meanwhile."""
+    """Reply to Prepare or Accept: the voter has promised a higher ballot."""
 
     promised: Ballot
 
 
 class Unable(msgspec.Struct, frozen=True, tag=True):
-    """It does not vote, and why."""
+    """Reply of a voter that cannot vote or serve the request, with the reason."""
 
     why: str
 
@@ -77,7 +86,7 @@
 
 
 def merge_write_counts(*tables: dict[str, int]) -> dict[str, int]:
-    """The most that any table says of each."""
+    """Return the highest write count of each voter over all tables."""
     result: dict[str, int] = {}
     for table in tables:
         for name, writes in table.items():
@@ -86,15 +95,15 @@
 
 
 def has_no_body(digest: str) -> bool:
-    """Of a voter that keeps no bodies of configuration."""
+    """Stand in for the body lookup of a voter that stores no configuration bodies."""
     return False
 
 
 class Acceptor:
-    """One voter's decisions; `held` is what is on its disk.
+    """The decisions of one voter; `state` is its durable state.
 
-    It accepts no value whose configuration it does not hold the body of: so a majority that has accepted a version is a
-    majority from which its body can be fetched.
+    It accepts a value only if it stores the body of that value's current configuration.  Hence the body of every
+    accepted version can be fetched from a majority of the voters.
     """
 
     def __init__(self, state: VoterState, has_body: HasBody = has_no_body) -> None:
@@ -133,15 +142,16 @@
         if register != self.state.register:
             return Unable("its file is of another register")
         if seen.get(self.state.voter, 0) > self.state.writes:
-            # It has promised or accepted what it no longer knows of.
+            # Others have seen more writes than the file has: promises or acceptances are missing from it.
             return Unable("its file was set back to an older copy")
         return None
 
 
 class Outcome(NamedTuple):
-    """How a round ended: `done` with a value, and the refusal where the change was none; or what to do next."""
+    """How a round ended: with an agreed value, or with what to do next.  `refusal` is set if the change was refused."""
 
-    what: str  # done, again (another ballot is higher), voters (the value names others), lost (no majority can come)
+    # done, again (a voter promised a higher ballot), voters (the value names other voters), lost (no majority possible)
+    what: str
     value: Value | None = None
     refusal: Refusal | None = None
     higher: Ballot = NO_BALLOT
@@ -149,7 +159,7 @@
 
 
 class Round:
-    """One proposer's attempt with one ballot."""
+    """One attempt of a proposer to change the value, with one ballot."""
 
     def __init__(self, register: int, voters: tuple[str, ...], ballot: Ballot, change: Change,
                  seen: dict[str, int] | None = None) -> None:  # fmt: skip
@@ -164,11 +174,14 @@
         self._next_voters: frozenset[str] = self.voters
 
     def start(self) -> dict[str, Prepare | Accept]:
-        """What to send to whom."""
+        """Return the first requests, by voter."""
         return {voter: Prepare(self.register, self.ballot, self.seen) for voter in sorted(self.voters)}
 
     def on_reply(self, voter: str, reply: Reply | None) -> dict[str, Prepare | Accept]:
-        """Take an answer in (None: none came); what to send to whom next.  `outcome` is set once the round is over."""
+        """Process a reply (None: it timed out) and return the next requests, by voter.
+
+        `outcome` is set once the round is over.
+        """
         if self.outcome is not None:
             return {}
         match reply:
@@ -177,7 +190,7 @@
             case Promise() if reply.ballot == self.ballot and self._value is None:
                 return self._promised(voter, reply)
             case Promise() if reply.ballot == self.ballot:
-                pass  # a majority was there before it; this voter's answer to the Accept is still to come
+                pass  # late promise: a majority had promised already, and this voter's reply to Accept is pending
             case Accepted() if reply.ballot == self.ballot and self._value is not None:
                 self._accepted.add(voter)
                 self.seen = merge_write_counts(self.seen, {voter: reply.writes})
@@ -193,7 +206,7 @@
         self.seen = merge_write_counts(self.seen, reply.seen)
         for name, promise in list(self._promises.items()):
             if self.seen.get(name, 0) > promise.writes:
-                del self._promises[name]  # set back: its word is not worth a vote
+                del self._promises[name]  # restored from an older copy: its promise does not count
                 self.unable[name] = "its file was set back to an older copy"
         if not self._majority(set(self._promises), self.voters):
             self._check_lost()
@@ -207,7 +220,7 @@
             self.outcome = Outcome("voters", latest.value)
             return {}
         changed = self.change(latest.value)
-        # A refusal is agreed as well, by writing the value back: else it might rest on one that is no longer in force.
+        # A refusal writes the value back unchanged, to confirm that it rests on the current value.
         self._refusal = changed if isinstance(changed, Refusal) else None
         self._value = latest.value if isinstance(changed, Refusal) else changed
         self._next_voters = frozenset(self._value.voters)
@@ -216,12 +229,12 @@
         return dict.fromkeys(sorted(self.voters | self._next_voters), message)
 
     def _check_lost(self) -> None:
-        """Whether too many cannot vote for a majority still to come."""
+        """End the round if too many voters are unavailable for a majority of the old or new voters."""
         for voters in (self.voters, self._next_voters):
             if 2 * len(voters - self.unable.keys()) <= len(voters):
                 reason = "; ".join(f"{name}: {why}" for name, why in sorted(self.unable.items()))
                 self.outcome = Outcome("lost", reason=reason)
 
     @staticmethod
-    def _majority(some: set[str], voters: frozenset[str]) -> bool:
-        return 2 * len(some & voters) > len(voters)
+    def _majority(subset: set[str], voters: frozenset[str]) -> bool:
+        return 2 * len(subset & voters) > len(voters)
--- a/thistleshore/releases/standing.py
+++ b/thistleshore/releases/standing.py
@@ -1,4 +1,4 @@
-"""What one instance sees of who is there and who is down, out of its view of the fleet and its module's hosts."""
+"""Observe which dispatchers and hosts exist and which are down, from the fleet view and the broker's hosts."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from thistleshore.fleet import Fleet, Service, State
 from thistleshore.releases.model import FleetObservation
 
-COLD_PERIOD = 2.0  # s after its start for which a host counts as cold, and so as out
+COLD_PERIOD = 2.0  # seconds after its start for which a host is cold and counts as out
 
 
 def observe(fleet: Fleet, broker: Broker, now: float) -> FleetObservation:
-    """As of now.  Whoever is down, suspect, not ready, cold or shunned by the module counts as out."""
+    """Return the current observation.  Members that are down, suspect, not ready, cold or shunned count as down."""
     generations: dict[str, int] = {}
     dispatchers_down: set[str] = set()
     for record in [fleet.own_record, *(member.record for member in fleet.members.values())]:
         if record.state == State.LEFT and record.by:
-            continue  # an operator said that it will not come back
+            continue  # removed for good by an operator
         generations[record.name] = record.generation
         if record.state != State.ALIVE or record.service != Service.READY:
             dispatchers_down.add(record.name)
--- a/thistleshore/releases/store.py
+++ b/thistleshore/releases/store.py
@@ -1,4 +1,4 @@
-"""A voter's durable state: one SQLite file, written whole before any answer leaves, and held by one process."""
+"""Durable state of a voter: one SQLite file, locked by one process and written before each reply is sent."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 
 class Unusable(Exception):
-    """The file cannot vote; the text says why.  An operator has to have the voter taken in again."""
+    """The file is unusable, for the reason in the text.  An operator must reinstall the voter."""
 
 
 class Busy(Unusable):
-    """Another process has it now."""
+    """Another process holds the lock."""
 
 
 class BodyStore(Protocol):
-    """Where a voter keeps bodies of configuration, by their digests."""
+    """Storage of configuration bodies by digest."""
 
     def read(self, digest: str) -> bytes | None:
-        """The body, None where it is not held whole."""
+        """Return the body, or None if it is missing or incomplete."""
 
     def keep(self, digest: str, body: bytes, named: Collection[str]) -> None:
-        """Durable once this returns, else Unusable.  Of others it may drop those that `named` does not have."""
+        """Store a body durably; raises Unusable if that fails.  Bodies not in `named` may be dropped."""
 
 
 class Store:
-    """The file in one folder, locked while it is open."""
+    """The state file in one folder, locked while it is open."""
 
     def __init__(self, folder: Path) -> None:
-        """Raises Unusable where another process holds it, or the folder cannot be used."""
+        """Lock the folder.  Raises Busy if another process holds it, and Unusable if the folder cannot be used."""
         self.folder = folder
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -54,10 +54,11 @@
             raise Busy("another process holds its file") from None
 
     def close(self) -> None:
+        """Release the lock."""
         os.close(self._lock)
 
     def read(self) -> VoterState | None:
-        """What is there, None where nothing ever was; Unusable where it is torn or of a newer version."""
+        """Return the stored state, or None if there is none.  Raises Unusable if it is corrupt or of another format."""
         path = self.folder / FILE
         if not path.exists():
             return None
@@ -80,7 +81,7 @@
             raise Unusable(f"its file is torn: {problem}") from None
 
     def write(self, held: VoterState) -> None:
-        """Durable once this returns; Unusable where the disk takes nothing (then nothing may be answered)."""
+        """Write the state durably.  Raises Unusable if the write fails; then no reply may be sent."""
         data = msgspec.msgpack.encode(held)
         try:
             connection = sqlite3.connect(self.folder / FILE, isolation_level=None)
@@ -96,7 +97,7 @@
             raise Unusable(f"its disk takes nothing: {problem}") from None
 
     def set_aside(self) -> None:
-        """Keep what cannot be used under another name, for whoever looks into it."""
+        """Rename an unusable file, to keep it for inspection."""
         path = self.folder / FILE
         if path.exists():
             os.replace(path, path.with_suffix(".unusable"))
--- a/thistleshore/releases/voter.py
+++ b/thistleshore/releases/voter.py
@@ -1,4 +1,4 @@
-"""A voter of the register, as one instance holds it: what it answers, with the file and the bodies behind it."""
+"""A voter of the register: answers requests from its state file and its store of configuration bodies."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 log = logging.getLogger("thistleshore")
 
-REPORT_LIFETIME = 3.0  # s for which a voter tells what an instance reported
+REPORT_LIFETIME = 3.0  # seconds for which a voter passes on the report of an instance
 ROLLED_BACK = "its file was set back to an older copy"
 
 
 class Voter:
-    """This instance's vote, where it has one: nothing is answered before it is on the disk."""
+    """The voter of this instance.  Each change of its state is durable before the reply is returned."""
 
     def __init__(self, name: str, folder: Path, bodies: BodyStore | None = None) -> None:
         self.name, self.folder, self.unable_reason = name, folder, "it does not run yet"
-        self.bodies = bodies  # None: it keeps none, and accepts no value with a configuration
+        self.bodies = bodies  # None: stores none, and accepts no value with a configuration
         self.store: Store | None = None
         self.acceptor: Acceptor | None = None
         self.reports: dict[str, tuple[float, Report]] = {}
@@ -44,7 +44,7 @@
         self._checked_voters: set[str] = set()
 
     async def open(self) -> None:
-        """Have the file, once no other process holds it: in a hot restart the one before does, until it steps aside."""
+        """Lock and read the file.  Waits while another process holds it, as the predecessor does in a hot restart."""
         while True:
             try:
                 self.store = Store(self.folder)
@@ -61,7 +61,7 @@
         self._read(self.store)
 
     def close(self) -> None:
-        """Vote no more, and leave the file to another process."""
+        """Stop voting and release the file to another process."""
         if self.store is not None:
             self.store.close()
         self.store = self.acceptor = None
@@ -69,8 +69,11 @@
         self.unable_reason = "the next process votes"
 
     def on_write_counts(self, voter: str, seen: Mapping[str, int], voters: Sequence[str]) -> None:
-        """What another voter knows of this one's writes.  A file is believed only once a majority was heard: one that
-        was set back would else make up, by votes that are none, for the writes it has lost."""
+        """Compare the write counts that another voter knows of with this voter's file.
+
+        The voter votes only after reports from a majority: a file restored from an older copy has lost writes, and new
+        votes would raise its write count until the loss can no longer be detected.
+        """
         if self.acceptor is None or self.name in self._checked_voters:
             return
         if seen.get(self.name, 0) > self.acceptor.state.writes:
@@ -100,7 +103,7 @@
         return self.bodies is not None and self.bodies.read(digest) is not None
 
     def answer(self, request: Question, now: float) -> Answer:
-        """What to answer; the state it speaks of is durable by then."""
+        """Return the reply to a request; the state behind it is durable."""
         if isinstance(request, Learn):
             self.seen = merge_write_counts(self.seen, request.seen)
             return self._known(request, now)
@@ -146,7 +149,7 @@
         if request.report is not None:
             self.reports[request.report.name] = now, request.report
         held = self.acceptor.state if self.acceptor is not None else VoterState(0, self.name)
-        # One ballot of one register has one value.
+        # A ballot of a register identifies its value.
         unchanged = held.value is not None and (held.register, held.accepted) == (request.register, request.holds)
         return Known(
             accepted=held.accepted,
--- a/thistleshore/releases/waves.py
+++ b/thistleshore/releases/waves.py
@@ -1,4 +1,4 @@
-"""A release as pure functions from one value to the next, or to a refusal: start, give, take, arrive, halt, undo."""
+"""The steps of a release, as pure functions from one value to the next or to a refusal."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an operator asks for: the plan's file.  Waves are how many have the new version once each is through."""
+    """An operator's release plan.  `waves` gives the total number or share with the new version after each wave."""
 
     version: Version
     reason: str = ""
-    service: str = ""  # for the ticket workers of this service; for the dispatchers where there is none
-    act: tuple[str, ...] = ()  # of ticket workers: the command that brings {version} to {host}
-    former: str = INITIAL_VERSION  # of ticket workers: what those run whose version was never told
+    service: str = ""  # the service whose ticket workers are released; empty: the dispatchers
+    act: tuple[str, ...] = ()  # of ticket workers: the command that installs {version} on {host}
+    former: str = INITIAL_VERSION  # of ticket workers: version of those that have reported none
     waves: tuple[Limit, ...] = (1, "5%", "20%", "100%")
     worse: str = "undo"
     within: float = 90.0
@@ -44,7 +44,7 @@
 
 
 class PlanError(ValueError):
-    """A plan that cannot be carried out; the text names the key."""
+    """An invalid plan; the text names the key."""
 
 
 def read_plan(tables: Any) -> Plan:
@@ -86,7 +86,7 @@
 
 
 def start(value: Value, plan: Plan, zones: Mapping[str, str], by: str, when: float) -> Value | Refusal:
-    """Begin a release for those that the asking instance knows, with their zones."""
+    """Start a release for the members in `zones` (name to zone), those that the requesting instance knows."""
     kind: Kind = "host" if plan.service else "dispatcher"
     before = value.release
     if before is not None and before.state in ACTIVE_STATES:
@@ -106,7 +106,7 @@
         for name, version in former.items()
         if kind == "dispatcher" and version not in (INITIAL_VERSION, *value.versions)
     ):
-        # There would be no way back: a keeper is told a version's command by the register.
+        # They could not be rolled back, as keepers get the command of a version from the register.
         return Refusal("version", 0, tuple(strange), f"what {', '.join(strange)} run is not known to the register")
     release = Release(
         value.number + 1,
@@ -133,13 +133,13 @@
 
 
 def change_state(value: Value, number: int, state: str, told: str, by: str, when: float) -> Value | Refusal:
-    """Halt, resume, undo, or end the release of that number; whoever has a place and has not begun gives it back."""
+    """Halt, resume, undo or end release `number`; its places that have not begun are freed."""
     release = value.release
     if release is None or release.number != number:
         return Refusal("release", 0, (), f"release {number} is not the one under way")
     wanted = release.halted_in if state == "resume" else state
     if wanted == release.state:
-        return value  # asked twice is asked once
+        return value  # repeated requests change nothing
     allowed = {
         "halted": ACTIVE_STATES,
         "resume": ("halted",),
@@ -158,6 +158,7 @@
 
 
 def next_wave(value: Value, number: int, wave: int, told: str, by: str, when: float) -> Value | Refusal:
+    """Advance the release from `wave` to the next one."""
     release = value.release
     if release is None or release.number != number or release.state != "going" or release.wave != wave:
         return Refusal("release", 0, (), "another has carried it on")
@@ -166,7 +167,7 @@
 
 
 def target(value: Value, name: str, kind: Kind = "dispatcher") -> str:
-    """The version that it is to have, by the release that is live; else what it has."""
+    """Return the version that a member is to run by the active release, or the one that it runs."""
     release, current = value.release, value.version_of(kind, name)
     if release is None or release.kind != kind:
         return current
@@ -179,14 +180,14 @@
 
 
 def remaining(value: Value) -> tuple[str, ...]:
-    """Who is still to change, in order: in the wave under way, or of the latest wave that is not back."""
+    """Return who is still to change, in order: of the current wave, or on undo of the latest wave not yet reverted."""
     release = value.release
     if release is None or release.state not in ACTIVE_STATES:
         return ()
     kind = release.kind
 
     def is_remaining(name: str) -> bool:
-        # One that has a place is midway, whatever it last ran.
+        # A member with a place is still changing, whatever version it last reported.
         current = value.version_of(kind, name) or release.former.get(name, INITIAL_VERSION)
         return current != target(value, name, kind) or _release_place(value, name, kind) is not None
 
@@ -204,7 +205,7 @@
 
 
 def grant(value: Value, number: int, name: str, by: str, seen: FleetObservation, when: float) -> Value | Refusal:
-    """A place for one that is to change."""
+    """Grant a place to a member that is to change."""
     release = value.release
     if release is None or release.number != number or name not in remaining(value):
         return Refusal("release", 0, (), "another has carried it on")
@@ -212,22 +213,22 @@
 
 
 class Order(NamedTuple):
-    """What a keeper is told: the version its dispatcher is to have, and the number of the place to do it by (0: not
-    yet)."""
+    """Instructions to a keeper: its dispatcher's version, and the number of the place to change by (0: none yet)."""
 
-    version: Version | None  # None: the keeper's own
+    version: Version | None  # None: that of the keeper's settings
     place: int
     begun: bool
 
 
 def order(value: Value, name: str) -> Order:
+    """Return the instructions to the keeper of a dispatcher."""
     wanted, place = target(value, name), _release_place(value, name)
     version = value.versions.get(wanted) if wanted != INITIAL_VERSION else None
     return Order(version, place.number if place is not None else 0, place is not None and place.begun)
 
 
 def arrived(value: Value, name: str, version: str, by: str, when: float, kind: Kind = "dispatcher") -> Value | Refusal:
-    """Whoever changed it says what it runs now: a place of the release has served its purpose."""
+    """Record the version that a member runs now, and free its place of the release."""
     place = _release_place(value, name, kind)
     if place is None and value.version_of(kind, name) == version:
         return value
@@ -247,7 +248,7 @@
 def failed(
     value: Value, name: str, version: str, told: str, by: str, when: float, kind: Kind = "dispatcher"
 ) -> Value | Refusal:
-    """The change did not come about: it serves on with `version`, and the release halts."""
+    """Record that a change failed: the member still runs `version`, and the release halts."""
     after = arrived(value, name, version, by, when, kind)
     release = value.release
     if isinstance(after, Refusal) or release is None or release.state not in ACTIVE_STATES:
