--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -85,17 +85,17 @@
 
     def _finish_change(self, kind: Kind, name: str, arrived: bool, words: Sequence[str], now: float) -> Change:
         """Record the end of a version change: success if `arrived`, else a failure with its reason."""
-        version, told, own_name = words[0].removeprefix("-"), " ".join(words[1:]), self.releases.name
+        version, reason, own_name = words[0].removeprefix("-"), " ".join(words[1:]), self.releases.name
         if arrived:
             return lambda value: waves.arrived(value, name, version, own_name, now, kind)
-        return lambda value: waves.failed(value, name, version, told, own_name, now, kind)
+        return lambda value: waves.failed(value, name, version, reason, own_name, now, kind)
 
-    def _change_release_state(self, state: str, told: str, now: float) -> Change:
+    def _change_release_state(self, state: str, reason: str, now: float) -> Change:
         """Return a change of the state of whichever release is current when it is applied."""
 
         def change(value: Value) -> Value | Refusal:
             number = value.release.number if value.release is not None else 0
-            return waves.change_state(value, number, state, told, self.releases.name, now)
+            return waves.change_state(value, number, state, reason, self.releases.name, now)
 
         return change
 
@@ -111,10 +111,10 @@
                 return places.grant(value, kind, which, reason, own_name, seen, now)
             return places.free(value, kind, which, reason, own_name, now)
 
-        found = await self.releases.change(change)
-        if isinstance(found, Value):
+        result = await self.releases.change(change)
+        if isinstance(result, Value):
             await self.releases.apply()
-        return {**_outcome(found), **self.state(kind, which)}
+        return {**_outcome(result), **self.state(kind, which)}
 
     # -- the register itself -----------------------------------------------------------------------
 
@@ -122,25 +122,27 @@
         """Initialize the register if none of its voters holds one."""
         plan = self.releases.plan
         voters = tuple(sorted(plan.voters))
-        found = await self.releases.ask_all(dict.fromkeys(voters, Learn()))
-        if missing := [name for name, reply in found.items() if not isinstance(reply, Known)]:
+        replies = await self.releases.ask_all(dict.fromkeys(voters, Learn()))
+        if missing := [name for name, reply in replies.items() if not isinstance(reply, Known)]:
             raise NoMajority(f"all voters are needed to begin: no answer from {', '.join(missing)}")
-        holds = {name: reply for name, reply in found.items() if isinstance(reply, Known) and reply.value is not None}
-        begun = {(reply.register, reply.writes) for reply in holds.values()}
-        if len(begun) > 1 or begun and (len(holds) == len(voters) or next(iter(begun))[1] > 1):
-            return {"status": "refused", "told": f"{', '.join(holds)} hold a register already"}
+        initialized = {
+            name: reply for name, reply in replies.items() if isinstance(reply, Known) and reply.value is not None
+        }
+        begun = {(reply.register, reply.writes) for reply in initialized.values()}
+        if len(begun) > 1 or begun and (len(initialized) == len(voters) or next(iter(begun))[1] > 1):
+            return {"status": "refused", "told": f"{', '.join(initialized)} hold a register already"}
         # A register initialized at some voters, and unchanged since, is initialized at the rest.
         register = next(iter(begun))[0] if begun else random.SystemRandom().getrandbits(62) + 1
-        value = next((reply.value for reply in holds.values()), None) or Value(1, voters, plan.limits)
+        value = next((reply.value for reply in initialized.values()), None) or Value(1, voters, plan.limits)
         installs = {
             name: Install(VoterState(register, name, (1, ""), (1, ""), value, 1), begin=True)
             for name in voters
-            if name not in holds
+            if name not in initialized
         }
         replies = await self.releases.ask_all(installs)
         if failed := {name: reply for name, reply in replies.items() if not isinstance(reply, Accepted)}:
-            told = "; ".join(f"{voter}: {_failure_reason(reply)}" for voter, reply in failed.items())
-            return {"status": "no-majority", "told": f"begin again, for {told}"}
+            reasons = "; ".join(f"{voter}: {_failure_reason(reply)}" for voter, reply in failed.items())
+            return {"status": "no-majority", "told": f"begin again, for {reasons}"}
         await self.releases.poll_voters()
         return {"status": "done", "number": 1}
 
@@ -149,14 +151,16 @@
         if name not in self.releases.plan.voters:
             return {"status": "refused", "told": f"no voter of that name is in this instance's file: {name}"}
         now, own_name = time.time(), self.releases.name
-        found = await self.releases.change(lambda value: places.change_voter(value, name, False, own_name, now))
-        if isinstance(found, Refusal):
-            return _outcome(found)
+        result = await self.releases.change(lambda value: places.change_voter(value, name, False, own_name, now))
+        if isinstance(result, Refusal):
+            return _outcome(result)
         writes = self.releases.seen.get(name, 0) + 1
-        held = VoterState(self.releases.register, name, NO_BALLOT, NO_BALLOT, None, writes)
-        reply = await self.releases.ask(name, Install(held, begin=False))
+        state = VoterState(self.releases.register, name, NO_BALLOT, NO_BALLOT, None, writes)
+        reply = await self.releases.ask(name, Install(state, begin=False))
         problem = (
-            _failure_reason(reply) if not isinstance(reply, Accepted) else await self._deposit_current_body(name, found)
+            _failure_reason(reply)
+            if not isinstance(reply, Accepted)
+            else await self._deposit_current_body(name, result)
         )
         if problem:
             return {"status": "refused", "told": f"{name} is no voter now, and could not be taken in: {problem}"}
@@ -180,13 +184,13 @@
         value = self.releases.known
         if value is None or not self.releases.has_recent_majority:
             return {"status": "no-majority", "told": "nothing is agreed now", "pid": os.getpid()}
-        found = waves.order(value, self.releases.name)
-        version = None if found.version is None else msgspec.to_builtins(found.version)
+        instructions = waves.order(value, self.releases.name)
+        version = None if instructions.version is None else msgspec.to_builtins(instructions.version)
         return {
             "status": "done",
             "pid": os.getpid(),
-            "place": found.place,
-            "begun": found.begun,
+            "place": instructions.place,
+            "begun": instructions.begun,
             "version": version,
         }
 
@@ -268,16 +272,16 @@
         }
 
 
-def _outcome(found: Value | Refusal) -> Answer:
-    if isinstance(found, Refusal):
+def _outcome(result: Value | Refusal) -> Answer:
+    if isinstance(result, Refusal):
         return {
             "status": "refused",
-            "limit": found.limit,
-            "allowed": found.allowed,
-            "out": list(found.out),
-            "told": found.reason,
+            "limit": result.limit,
+            "allowed": result.allowed,
+            "out": list(result.out),
+            "told": result.reason,
         }
-    return {"status": "done", "number": found.number}
+    return {"status": "done", "number": result.number}
 
 
 def _failure_reason(reply: object) -> str:
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -154,9 +154,9 @@
             with trio.move_on_after(2 * ANSWER_TIMEOUT):
                 try:
                     async with room:
-                        asked = messages.questions.decode(await messages.read(stream))
+                        request = messages.questions.decode(await messages.read(stream))
                         # One at a time: the disk is written in here, and this task does not wait meanwhile.
-                        await messages.write(stream, self.voter.answer(asked, trio.current_time()))
+                        await messages.write(stream, self.voter.answer(request, trio.current_time()))
                 except (OSError, EOFError, trio.BrokenResourceError, trio.ClosedResourceError, msgspec.MsgspecError):
                     pass
                 except Exception:
@@ -184,15 +184,15 @@
         return None
 
     async def ask_all(self, questions: Mapping[str, Question]) -> dict[str, Answer | None]:
-        found: dict[str, Answer | None] = {}
+        replies: dict[str, Answer | None] = {}
 
         async def one(voter: str, question: Question) -> None:
-            found[voter] = await self.ask(voter, question)
+            replies[voter] = await self.ask(voter, question)
 
         async with trio.open_nursery() as nursery:
             for voter, question in questions.items():
                 nursery.start_soon(one, voter, question)
-        return found
+        return replies
 
     # -- changes ----------------------------------------------------------------------------------------
 
@@ -265,34 +265,34 @@
         """
         voters = await self._voters()
         question = Deposit(digest_of(body), body)
-        held, failed = set[str](), dict.fromkeys(voters, "no answer")
+        stored, failed = set[str](), dict.fromkeys(voters, "no answer")
 
         async def one(voter: str) -> None:
             match await self.ask(voter, question):
                 case Deposited(digest=digest) if digest == question.digest:
-                    held.add(voter)
+                    stored.add(voter)
                     del failed[voter]
                 case Unable(why=why):
                     failed[voter] = why
-            if 2 * len(held) > len(voters):  # a majority is enough; the others get a little longer
+            if 2 * len(stored) > len(voters):  # a majority is enough; the others get a little longer
                 scope = nursery.cancel_scope
                 scope.deadline = min(scope.deadline, trio.current_time() + ANSWER_TIMEOUT)
 
         async with trio.open_nursery() as nursery:
             for voter in voters:
                 nursery.start_soon(one, voter)
-        if 2 * len(held) <= len(voters):
+        if 2 * len(stored) <= len(voters):
             raise NoMajority("; ".join(f"{voter}: {why}" for voter, why in sorted(failed.items())))
-        return len(held)
+        return len(stored)
 
     async def fetch_body(self, digest: str) -> bytes | None:
         """Return the body with that digest from the first voter that has it, or None."""
         others = [voter for voter in await self._voters() if voter != self.name]
         self._random.shuffle(others)
         for voter in (self.name, *others) if self.voter is not None else others:
-            found = await self.ask(voter, FetchBody(digest))
-            if isinstance(found, Body) and digest_of(found.body) == digest:
-                return found.body
+            reply = await self.ask(voter, FetchBody(digest))
+            if isinstance(reply, Body) and digest_of(reply.body) == digest:
+                return reply.body
         return None
 
     async def _voters(self) -> tuple[str, ...]:
@@ -366,23 +366,23 @@
         """Read the state of all voters, and send them this instance's report if one is due."""
         voters = self.known.voters if self.known is not None else tuple(self.plan.voters)
         before = self._latest
-        found = await self.ask_all(dict.fromkeys({*voters, *self.plan.voters}, self._learn_request()))
-        held = {
+        replies = await self.ask_all(dict.fromkeys({*voters, *self.plan.voters}, self._learn_request()))
+        known = {
             voter: msgspec.structs.replace(reply, value=before.value) if reply.unchanged else reply
-            for voter, reply in found.items()
+            for voter, reply in replies.items()
             if isinstance(reply, Known)
         }
-        for voter, reply in held.items():
+        for voter, reply in known.items():
             self.seen = merge_write_counts(self.seen, reply.seen, {voter: reply.writes} if not reply.why else {})
             if self.voter is not None and voter != self.name:
                 self.voter.on_write_counts(voter, reply.seen, voters)
         self.reports = {}
-        for reply in held.values():
+        for reply in known.values():
             for report in reply.reports:
                 other = self.reports.get(report.name)
                 if other is None or (report.generation, report.applied) >= (other.generation, other.applied):
                     self.reports[report.name] = report
-        voting = {voter: reply for voter, reply in held.items() if not reply.why and reply.value is not None}
+        voting = {voter: reply for voter, reply in known.items() if not reply.why and reply.value is not None}
         if not voting:
             return
         self._register = next(iter(voting.values())).register
@@ -446,26 +446,30 @@
 
     # -- the release -------------------------------------------------------------------------------------------
 
-    def is_leader(self, seen: FleetObservation) -> bool:
+    def is_leader(self, observation: FleetObservation) -> bool:
         """Return whether this instance advances the release.
 
         The leader is the first by name of the instances that are ready and have reported recently.  If two instances
         consider themselves leader, the register resolves the conflict.
         """
-        live = [name for name in seen.dispatchers if name not in seen.dispatchers_down and name in self.reports]
+        live = [
+            name
+            for name in observation.dispatchers
+            if name not in observation.dispatchers_down and name in self.reports
+        ]
         return bool(live) and min(live) == self.name
 
     async def _advance_release(self) -> None:
         now = trio.current_time()
         if self.known is None or not self.has_recent_majority:
             return
-        seen = self.observe()
+        observation = self.observe()
         figures = [report.figures for report in self.reports.values() if report.figures is not None]
-        step = self.driver.next_step(self.known, DriverInput(seen, *self.view(), figures), now)
-        if step is None or not self.is_leader(seen):
+        step = self.driver.next_step(self.known, DriverInput(observation, *self.view(), figures), now)
+        if step is None or not self.is_leader(observation):
             return
         point("driver-before")
-        found = await self.change(lambda value: step.change(value, self.name, time.time()))
+        result = await self.change(lambda value: step.change(value, self.name, time.time()))
         point("driver-after")
-        if isinstance(found, Value):
+        if isinstance(result, Value):
             log.info("release: %s", step.reason)
--- a/thistleshore/releases/driver.py
+++ b/thistleshore/releases/driver.py
@@ -38,7 +38,7 @@
 class DriverInput(NamedTuple):
     """What the instance observes now: members, state of the view, and the figures of all processes."""
 
-    standing: FleetObservation
+    observation: FleetObservation
     settled: bool
     majority: bool
     figures: Iterable[Figures]
@@ -60,10 +60,10 @@
         result[stratum] = Tally(before.tries + tries, before.good + max(0, min(good, tries)))
 
     for name, rows in difference.items():
-        for asked, in_time, refused, prompt, first in rows:
-            add("service", asked, in_time)
-            add(f"service of {name}", asked, in_time)
-            add(f"taken of {name}", asked, asked - refused)
+        for requests, in_time, rejected, prompt, first in rows:
+            add("service", requests, in_time)
+            add(f"service of {name}", requests, in_time)
+            add(f"taken of {name}", requests, requests - rejected)
             add(f"attempts of {name}", in_time, first)
             add(f"latency of {name}", in_time, prompt)
     return result
@@ -87,7 +87,7 @@
         self._nothing_to_compare = False
         self._wave_updated_at: float | None = None  # when the whole wave had the new version
 
-    def next_step(self, value: Value, seen: DriverInput, now: float) -> Step | None:
+    def next_step(self, value: Value, inputs: DriverInput, now: float) -> Step | None:
         release = value.release
         if release is None or release.state not in waves.ACTIVE_STATES:
             self.blocked_by, self._release, self._gate, self._places_since = "", (0, -1), None, {}
@@ -96,30 +96,30 @@
             self._counts = {}  # counts during a halt are no evidence for later intervals
             return None
         number = release.number
-        self._feed_gate(value, release, seen, now)
+        self._feed_gate(value, release, inputs, now)
         if release.state == "going" and self.gate_result is not None and self.gate_result.verdict is Verdict.WORSE:
             state = "undoing" if release.worse == "undo" else "halted"
             result = self.gate_result
             why = f"{result.stratum}: {result.new:.1%} of {result.tries}, {result.old:.1%} without it"
             return Step(lambda v, by, when: waves.change_state(v, number, state, why, by, when), why)
-        if problem := self._halt_reason(value, seen, now):
+        if problem := self._halt_reason(value, inputs, now):
             return Step(lambda v, by, when: waves.change_state(v, number, "halted", problem, by, when), problem)
         if self.blocked_by:
             return None
-        return self._next(value, release, seen, now)
+        return self._next(value, release, inputs, now)
 
     # -- pause and halt
 
-    def _halt_reason(self, value: Value, seen: DriverInput, now: float) -> str:
+    def _halt_reason(self, value: Value, inputs: DriverInput, now: float) -> str:
         """Return the reason to halt, or ""; sets `blocked_by` for problems that only pause the release so far."""
         assert value.release is not None
-        down = seen.standing.dispatchers_down
+        down = inputs.observation.dispatchers_down
         with_place = {place.name for place in value.places if place.kind == "dispatcher"}
-        allowed = places.max_allowed(value.limits.dispatchers, len(seen.standing.dispatchers))
+        allowed = places.max_allowed(value.limits.dispatchers, len(inputs.observation.dispatchers))
         over = len(down | with_place) - allowed
         conditions = {
-            "the view has no majority": (not seen.majority, MAX_UNSETTLED),
-            "the view is not settled": (not seen.settled, MAX_UNSETTLED),
+            "the view has no majority": (not inputs.majority, MAX_UNSETTLED),
+            "the view is not settled": (not inputs.settled, MAX_UNSETTLED),
             f"more are out than {allowed}: {', '.join(sorted(down | with_place))}": (over > 0, MAX_OVER_LIMIT),
         }
         self._problems_since = {
@@ -136,19 +136,19 @@
                 return f"{midway[n].name} is not through after {now - since:.0f} s"
         return ""
 
-    def _next(self, value: Value, release: Release, seen: DriverInput, now: float) -> Step | None:
+    def _next(self, value: Value, release: Release, inputs: DriverInput, now: float) -> Step | None:
         number = release.number
         remaining = waves.remaining(value)
         self._wave_updated_at = None if remaining else now if self._wave_updated_at is None else self._wave_updated_at
         for name in remaining:
             if value.place(release.kind, name) is not None:
                 continue
-            outcome = waves.grant(value, number, name, "", seen.standing, 0.0)
+            outcome = waves.grant(value, number, name, "", inputs.observation, 0.0)
             if isinstance(outcome, Refusal):
                 self.blocked_by = outcome.reason
                 continue
             return Step(
-                lambda v, by, when, name=name: waves.grant(v, number, name, by, seen.standing, when),  # type: ignore[misc]
+                lambda v, by, when, name=name: waves.grant(v, number, name, by, inputs.observation, when),  # type: ignore[misc]
                 f"a place for {name}",
             )
         if remaining:
@@ -178,7 +178,7 @@
 
     # -- the gate
 
-    def _feed_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
+    def _feed_gate(self, value: Value, release: Release, inputs: DriverInput, now: float) -> None:
         """Feed the gate of the current wave with the counts since the last interval."""
         if release.state != "going":
             self._gate = self.gate_result = None
@@ -187,10 +187,10 @@
             # Each wave has its own gate, as more members with the new version may behave differently.
             self._release, self._gate, self.gate_result = (release.number, release.wave), None, None
         if release.kind == "host":
-            self._feed_host_gate(value, release, seen, now)
+            self._feed_host_gate(value, release, inputs, now)
             return
         new = release.version.name
-        runs = {figures.name: figures.version == new for figures in seen.figures}
+        runs = {figures.name: figures.version == new for figures in inputs.figures}
         # With all members on the new version there is no group to compare with.
         self._nothing_to_compare = bool(runs) and all(runs.values()) and not waves.remaining(value)
         if now - self._last_interval_at < INTERVAL:
@@ -200,7 +200,7 @@
         single: dict[str, tuple[int, int]] = {}
         members: dict[str, dict[str, Tally]] = {}
         counts: dict[tuple[str, int], Mapping[str, Counts]] = {}
-        for figures in seen.figures:
+        for figures in inputs.figures:
             key = figures.name, figures.boot
             counts[key] = figures.classes
             before = self._counts.get(key)
@@ -230,7 +230,7 @@
                 strata[stratum] = strata.get("service", Tally(0, 0))
         self._judge(release, pairs, now, members)
 
-    def _feed_host_gate(self, value: Value, release: Release, seen: DriverInput, now: float) -> None:
+    def _feed_host_gate(self, value: Value, release: Release, inputs: DriverInput, now: float) -> None:
         """Compare ticket workers with and without the new version, by the counts of all dispatchers."""
         new = {name for name in release.former if value.version_of("host", name) == release.version.name}
         self._nothing_to_compare = not set(release.former) - new
@@ -241,7 +241,7 @@
         self._last_interval_at = now
         sums = [[0, 0, 0], [0, 0, 0]]
         counts: dict[tuple[str, int], Mapping[str, HostCounts]] = {}
-        for figures in seen.figures:
+        for figures in inputs.figures:
             key = figures.name, figures.boot
             counts[key] = figures.hosts
             for name, row in figures.hosts.items():
--- a/thistleshore/releases/keeping.py
+++ b/thistleshore/releases/keeping.py
@@ -158,8 +158,8 @@
             await self._carry_out(self.keeper.on_ready(order["pid"], trio.current_time()))
         if order["status"] == "done":
             version = None if order["version"] is None else msgspec.convert(order["version"], Version)
-            found = Order(version, order["place"], order["begun"])
-            await self._carry_out(self.keeper.on_order(found, trio.current_time()))
+            instructions = Order(version, order["place"], order["begun"])
+            await self._carry_out(self.keeper.on_order(instructions, trio.current_time()))
 
     # -- actions
 
@@ -269,7 +269,7 @@
     async def _ask(self, what: str, timeout: float = ANSWER_TIMEOUT) -> dict[str, Any] | None:
         answer = await call(self.admin, f"FLEET {what}", timeout)
         try:
-            found = json.loads(answer.split("\n")[0])
+            result = json.loads(answer.split("\n")[0])
         except ValueError:
             return None
-        return found if isinstance(found, dict) else None
+        return result if isinstance(result, dict) else None
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -50,7 +50,7 @@
 
 
 def grant(
-    value: Value, kind: Kind, name: str, reason: str, by: str, seen: FleetObservation, when: float, release: int = 0
+    value: Value, kind: Kind, name: str, reason: str, by: str, observed: FleetObservation, when: float, release: int = 0
 ) -> Value | Refusal:
     """Grant a place; a member that has one keeps it, and the value is unchanged."""
     if value.place(kind, name) is not None:
@@ -58,11 +58,11 @@
     if len(value.places) >= MAX_PLACES:
         return Refusal("places", MAX_PLACES, (), "no more places are kept")
     if kind == "dispatcher":
-        if name not in seen.dispatchers:
+        if name not in observed.dispatchers:
             return Refusal("known", 0, (), f"no dispatcher is named {name!r}")
-        held = {place.name for place in value.places if place.kind == kind}
+        with_place = {place.name for place in value.places if place.kind == kind}
         refused = _limit_refusal(
-            "dispatchers", value.limits.dispatchers, seen.dispatchers, held | seen.dispatchers_down, name
+            "dispatchers", value.limits.dispatchers, observed.dispatchers, with_place | observed.dispatchers_down, name
         )
         place = Place(
             kind,
@@ -70,24 +70,28 @@
             reason[:MAX_REASON_LENGTH],
             by,
             value.number + 1,
-            generation=seen.dispatchers[name],
+            generation=observed.dispatchers[name],
             release=release,
         )
     else:
-        if name not in seen.hosts:
+        if name not in observed.hosts:
             return Refusal("known", 0, (), f"no host is named {name!r}")
-        service, zone = seen.hosts[name]
+        service, zone = observed.hosts[name]
         refused = None
         for limit, bound, group in (
-            ("hosts", value.limits.hosts, {h for h, (s, _) in seen.hosts.items() if s == service}),
-            ("hosts_a_zone", value.limits.hosts_a_zone, {h for h, at in seen.hosts.items() if at == (service, zone)}),
+            ("hosts", value.limits.hosts, {h for h, (s, _) in observed.hosts.items() if s == service}),
+            (
+                "hosts_a_zone",
+                value.limits.hosts_a_zone,
+                {h for h, at in observed.hosts.items() if at == (service, zone)},
+            ),
         ):
-            held = {
+            with_place = {
                 place.name
                 for place in value.places
                 if place.kind == kind and place.service == service and (limit == "hosts" or place.zone == zone)
             }
-            refused = refused or _limit_refusal(limit, bound, group, held | (seen.hosts_down & group), name)
+            refused = refused or _limit_refusal(limit, bound, group, with_place | (observed.hosts_down & group), name)
         place = Place(kind, name, reason[:MAX_REASON_LENGTH], by, value.number + 1, service, zone, release=release)
     if refused is not None:
         return refused
--- a/thistleshore/releases/store.py
+++ b/thistleshore/releases/store.py
@@ -80,9 +80,9 @@
         except msgspec.MsgspecError as problem:
             raise Unusable(f"its file is torn: {problem}") from None
 
-    def write(self, held: VoterState) -> None:
+    def write(self, state: VoterState) -> None:
         """Write the state durably.  Raises Unusable if the write fails; then no reply may be sent."""
-        data = msgspec.msgpack.encode(held)
+        data = msgspec.msgpack.encode(state)
         try:
             connection = sqlite3.connect(self.folder / FILE, isolation_level=None)
             try:
--- a/thistleshore/releases/waves.py
+++ b/thistleshore/releases/waves.py
@@ -61,15 +61,15 @@
         raise PlanError("act: it is for ticket workers, and `service` names none")
     if not plan.waves:
         raise PlanError("waves: at least one is wanted")
-    for key, least, most in (
+    for key, minimum, maximum in (
         ("within", 1.0, 3600.0),
         ("enough", 0.0, 86400.0),
         ("bound", 1.0, 86400.0),
         ("margin", 0.0, 1.0),
         ("error", 1e-6, 0.5),
     ):
-        if not least <= getattr(plan, key) <= most:
-            raise PlanError(f"{key}: {least:g} to {most:g} is wanted, not {getattr(plan, key):g}")
+        if not minimum <= getattr(plan, key) <= maximum:
+            raise PlanError(f"{key}: {minimum:g} to {maximum:g} is wanted, not {getattr(plan, key):g}")
     return plan
 
 
@@ -204,12 +204,12 @@
     return place if place is not None and place.release else None
 
 
-def grant(value: Value, number: int, name: str, by: str, seen: FleetObservation, when: float) -> Value | Refusal:
+def grant(value: Value, number: int, name: str, by: str, observed: FleetObservation, when: float) -> Value | Refusal:
     """Grant a place to a member that is to change."""
     release = value.release
     if release is None or release.number != number or name not in remaining(value):
         return Refusal("release", 0, (), "another has carried it on")
-    return places.grant(value, release.kind, name, f"release of {release.version.name}", by, seen, when, number)
+    return places.grant(value, release.kind, name, f"release of {release.version.name}", by, observed, when, number)
 
 
 class Order(NamedTuple):
