--- a/thistleshore/releases/model.py
+++ b/thistleshore/releases/model.py
@@ -48,7 +48,7 @@
     zone: str = ""
     generation: int = msgspec.field(name="life", default=0)  # of a dispatcher, when the place was granted
     begun: bool = False
-    release: int = 0  # number of its release, 0: none; then the keeper replaces the process, which does not drain itself
+    release: int = 0  # number of its release, 0: none; with one, the keeper replaces the process
 
 
 class Version(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
