--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -1,8 +1,8 @@
-"""Every decision of a dispatcher that pushes jobs to workers.
+"""Decides admission, placement, retries and hedging for one dispatcher that pushes jobs to workers.
 
-Types and rules of use: oxbowarch/interface.py; what is remembered: oxbowarch/records.py.  The method is
-EARRRL, an estimated average recent request rate: under pressure a tenant is refused what lies beyond its
-limit; what is admitted goes to a worker drawn by free slots.  docs/design/decisions.md: what was changed.
+Types and rules of use: oxbowarch/interface.py; state: oxbowarch/records.py.  The method is EARRRL, an
+estimated average recent request rate, kept as a count N that decays since a time T: under pressure a tenant's
+excess requests are refused; an admitted job goes to a worker drawn by weight, mostly by free slots.
 """
 
 from collections import Counter, OrderedDict
@@ -20,72 +20,72 @@
 from oxbowarch.shunning import MAX_FAILURES, after_failure, after_rejections
 from oxbowarch.slow_start import capacity, sender_rate, warmth
 
-HALF_LIFE = 10.0  # s; the source's own value: long enough to remember, short enough to forgive
+HALF_LIFE = 10.0  # seconds, of the request counts
 DECAY = log(2) / HALF_LIFE
-NAMES_KEPT = 4096  # least recently used are forgotten: whoever is quiet needs no limit
-NOISE_MARGIN = 1.0  # standard errors taken off an estimate before it may refuse
-PRESSURE = (0.65, 0.85)  # share of slots busy at which refusal beyond the limits begins, and is full
-LATE_SHARE, DOMINANT = 0.1, 1.5  # share of late answers that presses fully; times its part that is a flood
-OVERLOAD = (0.9, 1.1)  # the same within the limits: never full, as what is held may find room
-SHED_EARLY, SHED_LATE = 0.1, 0.35  # how much sooner than the best what earns nothing gives way; late repeats
-SPARE_LEFT = 0.5  # share of the means to answer by that is left to the class that earns most
-PRESSURE_FADE, REPORT_FADE = 1 / 2.0, 1 / 0.5  # 1/s; of the busy share; of own attempts in reports
-REPORT_AGE, FULL_AGE = 1.5, 0.2  # s for which a report counts, and for which an answer of 'full' does
-NO_ROOM_PART, FULL_PART = 0.5, 5.0  # part of that for which no room counts, and more for each attempt full
-DRAWS = 12  # tries of the rejection draw before the best one seen is taken
-KEY_PATIENCE, KEY_QUEUE, KEY_PLACES = 0.5, 0.25, 8  # of the aim, of slots, to wait for a home; servers noted
+NAMES_KEPT = 4096  # tenants or keys with a count; the least recently used are dropped, as they need no limit
+NOISE_MARGIN = 1.0  # standard errors subtracted from a tenant's count before it may cause a refusal
+PRESSURE = (0.65, 0.85)  # share of busy slots at which refusal beyond the limits begins, and is full
+LATE_SHARE, DOMINANT = 0.1, 1.5  # late share that is full pressure; multiple of its part that makes a flood
+OVERLOAD = (0.9, 1.1)  # as PRESSURE, within the limits; never full, as a queued job may still find room
+SHED_EARLY, SHED_LATE = 0.1, 0.35  # how much earlier worthless jobs are shed, and late repeats (busy share)
+SPARE_LEFT = 0.5  # share of the reply capacity that is reserved for the class that earns most
+PRESSURE_FADE, REPORT_FADE = 1 / 2.0, 1 / 0.5  # decay of busy shares, of the attempts that reports lag (1/s)
+REPORT_AGE, FULL_AGE = 1.5, 0.2  # seconds for which a load report is valid, and a FULL response
+NO_ROOM_PART, FULL_PART = 0.5, 5.0  # part of REPORT_AGE that "no room" holds; more by the share of FULL
+DRAWS = 12  # tries of the rejection draw before the best worker seen is taken
+KEY_PATIENCE, KEY_QUEUE, KEY_PLACES = 0.5, 0.25, 8  # parts of the aim, of the slots; recent workers of a key
 FAILURE_STATUSES = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
-WATCH_BACKOFF = 0.5  # s, first wait after a failed call; doubled up to max_list_retry
-ZONE_SLACK, LOAD_MOST = 0.1, 3.0  # load, in slots' worth, by which the own zone may exceed others; cap of it
-HOLD_STEP, HOLD_MORE = 0.05, 0.7  # s between two looks for a held job; part of a usual run's grace it waits
-COPY_STEP = 0.2  # s between two looks for a job that calls for a second copy
-COPY_SHARE, COPY_MOST, COPY_WON = 0.02, 6.0, 2.0  # copies earned by a job, at most, and by a faster one
-ANYWHERE: Places = (None, None)  # the places of a class that is bound to none
-NOTE_AGE, NOTE_AGAIN, NOTE_EVERY = 3.0, 1.0, 1.0  # s one counts, is repeated after, is told all after
-DEAF, FEW, WAITING = (1.5, 12.0), 7, 0.5  # s with no note: cut, all gone; few; own waiting for each running
-HOME_OF, AWAY_LEFT = 4.0, 2.0  # dispatchers at home at a worker; slots left to them where all are busy
-COLD_MORE, COUNT_EVERY, COUNT_EACH = 1.5, 0.1, 0.0005  # of a cold one's budget; s between counts, a worker
-DEADLINE, HOLD, NOTES, LIST = range(4)  # what a timer is for: the low bits of its token
+WATCH_BACKOFF = 0.5  # seconds, first wait after a failed list call; doubled up to max_list_retry
+ZONE_SLACK, LOAD_MOST = 0.1, 3.0  # excess load at which the own zone loses its preference; cap on a load
+HOLD_STEP, HOLD_MORE = 0.05, 0.7  # seconds between tries of a queued job; part of its run time it may wait
+COPY_STEP = 0.2  # seconds between checks whether a job needs a hedged request
+COPY_SHARE, COPY_MOST, COPY_WON = 0.02, 6.0, 2.0  # hedge tokens: per job, at most, per faster copy
+ANYWHERE: Places = (None, None)  # the places of an unrestricted class
+NOTE_AGE, NOTE_AGAIN, NOTE_EVERY = 3.0, 1.0, 1.0  # seconds: notes expire, are repeated, are sent to all
+DEAF, FEW, WAITING = (1.5, 12.0), 7, 0.5  # seconds without notes: cut off, alone; dispatchers; waiting ratio
+HOME_OF, AWAY_LEFT = 4.0, 2.0  # home dispatchers of each worker; busy worker's slots reserved for them
+COLD_MORE, COUNT_EVERY, COUNT_EACH = 1.5, 0.1, 0.0005  # margin of a cold worker's slots; seconds; per worker
+DEADLINE, HOLD, NOTES, LIST = range(4)  # purpose of a timer, in the two low bits of its token
 
 
 class Brain:
-    """One dispatcher's decisions; see interface.py for the contract."""
+    """The decisions of one dispatcher; interface.py states the rules of use."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.started_at, self.random = now, Random(seed)
         self.shares_notes = settings.shares_notes and settings.balancers > 1
-        # Share of slots in use: at the workers open to each class, in the own zone, and in the others.
+        # Busy share of the slots open to each class; load of the own zone (near) and of the others (away).
         self.busy_share: dict[Places, MovingAverage] = {}
         self.near, self.away = MovingAverage(now, PRESSURE_FADE), MovingAverage(now, PRESSURE_FADE)
         self.workers: dict[WorkerId, Worker] = {}
-        self.banned: set[WorkerId] = set()  # taken out by hand, listed or not
+        self.banned: set[WorkerId] = set()  # banned by an operator, listed or not
         self.jobs, self.queued = Jobs(), OrderedDict[int, Job]()
-        self.rates, self.keys = RateTable(NAMES_KEPT), RateTable(NAMES_KEPT)  # N and T of tenants and of keys
-        self.offered, self.admitted = DecayedCount(now), DecayedCount(now)  # jobs: all; admitted
+        self.rates, self.keys = RateTable(NAMES_KEPT), RateTable(NAMES_KEPT)  # requests by tenant, by key
+        self.offered, self.admitted = DecayedCount(now), DecayedCount(now)  # all jobs, admitted jobs
         self.requests, self.retries, self.own_outstanding = Window(), Window(), MovingAverage(now, DECAY)
-        self.late, self.full, self.failing = (MovingAverage(now, PRESSURE_FADE) for _ in range(3))  # shares
-        self.usual_free = MovingAverages(now, PRESSURE_FADE)  # free slots that a kind of machine reports
-        self.run_times = MovingAverages(now, DECAY)  # logged run time of a class, where workers tell starts
+        self.late, self.full, self.failing = (MovingAverage(now, PRESSURE_FADE) for _ in range(3))
+        self.usual_free = MovingAverages(now, PRESSURE_FADE)  # reported free slots by machine kind
+        self.run_times = MovingAverages(now, DECAY)  # log of the run time by class, where starts are reported
         self.max_free, self.counted_at = 1.0 + self.shares_notes, now
         self.under_pressure, self.watching, self.watch_delay = False, False, WATCH_BACKOFF
         self.actions: list[Action] = []
         self.last_note_at = inf if self.shares_notes and settings.balancers <= FEW else -inf
-        self.pending_notes: dict[WorkerId, Note] = {}  # what the others are to be told next
+        self.pending_notes: dict[WorkerId, Note] = {}  # notes for the next broadcast
         self.refusals: Counter[RefusalReason] = Counter()  # requests refused or failed, by reason
-        self.hedge_tokens, self.won = COPY_MOST, MovingAverage(now, COPY_FADE)  # share that won
+        self.hedge_tokens, self.won = COPY_MOST, MovingAverage(now, COPY_FADE)  # share of faster copies
         self.on_settings(settings, now)
 
     def on_settings(self, settings: Settings, now: float) -> list[Action]:
-        """These hold for what comes from now on: jobs keep their rule, classes and tenants their numbers."""
+        """Apply settings to later requests; open jobs keep their policy, classes, tenants their numbers."""
         self.settings = settings
-        self.reply_margin = 3 * settings.tick  # s before a deadline at which an answer still leaves in time
+        self.reply_margin = 3 * settings.tick  # seconds before a deadline to answer in time
         self.cold_factor = COLD_MORE * (settings.cold_factor if self.shares_notes else 1.0)
-        # Where it is no proof, 'full' may come for work begun: sent again, an unsafe job could run twice.
+        # Unless FULL proves that nothing ran, a retry of an unsafe job after it could run the job twice.
         self.never_ran = NEVER_RAN if settings.full_never_ran else NEVER_RAN - {Status.FULL}
         averages = {rule.places: MovingAverage(now, PRESSURE_FADE) for rule in settings.classes}
         self.busy_share = averages | self.busy_share
         self.bound_places = [bound for bound in averages if bound != ANYWHERE]
-        # A window's edge is drawn against us by a tick each way: a ration must not be overdrawn by rounding.
+        # Both windows err by a tick towards fewer retries, so that rounding never exceeds the retry budget.
         span = settings.budget.span if settings.budget else 0.0
         self.requests.span, self.retries.span = span - settings.tick, span + settings.tick
         return self._rebuild_pools()
@@ -98,22 +98,22 @@
         return []
 
     def on_ban(self, name: WorkerId, out: bool, now: float) -> list[Action]:
-        """An operator takes a worker out, whatever the list says of it, or calls it back as a new process."""
+        """Ban a worker whatever its listed state (`out`), or restore it as if it were a new process."""
         worker = self.workers.get(name)
         if not out and name in self.banned and worker is not None:
             worker.reset(self.random.random(), now, worker.outstanding)
-            worker.restored_at = now  # restarted meanwhile, and the list may tell that late
+            worker.restored_at = now  # it may have restarted, and the list may report that late
         (self.banned.add if out else self.banned.discard)(name)
         return self._rebuild_pools()
 
     def _ready(self, worker: Worker) -> bool:
-        # Drains: a worker that is draining, gone or banned gets nothing from the moment that is known.
+        # A draining, removed or banned worker gets no new attempts from the moment that is known.
         return worker.entry.state is State.READY and worker.id not in self.banned
 
     def on_list(self, kind: ListKind, entries: tuple[Entry, ...], now: float) -> list[Action]:
         self.actions = []
         if kind is ListKind.FAILED:
-            # A fleet of dispatchers asking again at once would keep the list service down.
+            # Jittered back-off: retries of all dispatchers at once would keep the list service down.
             self.actions.append(Timer(now + self.watch_delay * (0.5 + self.random.random()), LIST))
             self.watching, self.watch_delay = False, min(2 * self.watch_delay, self.settings.max_list_retry)
             return self.actions
@@ -121,7 +121,7 @@
             for known in self.workers.values():
                 known.entry = known.entry._replace(state=State.GONE)
         for entry in entries:
-            worker = self.workers.get(entry.worker)  # pools are made anew where one moves; weights often
+            worker = self.workers.get(entry.worker)  # weights change often and need no new pools
             moved = moved or worker is None or worker.entry[1:5] != entry[1:5]
             if worker is None:
                 worker = self.workers[entry.worker] = Worker(entry, self.random.random(), now)
@@ -140,7 +140,7 @@
         return self.actions
 
     def _pool(self, places: Places, zone: int) -> list[Worker]:
-        """Ready workers open to a class's places, in a zone; -1 means any."""
+        """Return the ready workers that a class may use in a zone; -1 means any zone."""
         pool = self.pools.get((places, zone))
         if pool is None:
             near = (w for w in self.workers.values() if self._ready(w) and zone in (-1, w.entry.zone))
@@ -148,47 +148,47 @@
         return pool
 
     def _all_banned(self, places: Places) -> bool:
-        """Has an operator taken out all there is?"""
+        """Return whether bans leave no ready worker in these places."""
         return bool(self.banned) and not self._pool(places, -1)
 
     def _excess(self, tenant: int, repeat: bool, now: float) -> tuple[float, bool]:
-        """The share of the tenant's jobs here beyond its limit, read before this one is counted, and whether
-        it takes far more than its part of all jobs here, however many clients crowd at this balancer."""
+        """Return the share of the tenant's requests beyond its limit, before this one, and if it floods:
+        whether it sends far more than its part of all requests here, however many clients use this one."""
         if not 0 <= tenant < len(limits := self.settings.limits):
             return 0.0, False
-        # A client's repeat belongs to its first try: refusals that breed repeats must not breed refusals.
+        # A client's repeat is not counted again, or refusals would cause repeats and so more refusals.
         count = self.rates.add(tenant, DECAY, now, 0.0 if repeat else 1.0)
-        # A tenant spread thinly leaves N noisy: innocents would be refused by chance.
+        # The count of a tenant with few requests here is noisy: without a margin it is refused by chance.
         count = max(0.0, count - NOISE_MARGIN * sqrt(count / 2))
-        # The decayed count as a rate; right after a start it is still filling, and would read low.
+        # The count as a rate, corrected for the time after a start, when it is still filling.
         estimate = count * DECAY / max(1e-3, 1.0 - exp(DECAY * (self.started_at - now)))
         limit = limits[tenant] / self.settings.balancers
         flood = count * sum(limits) > DOMINANT * self.offered.count * limits[tenant]
         return 1.0 - limit / estimate if estimate > limit else 0.0, flood
 
     def _ramp(self, places: Places, low: float, high: float) -> float:
-        """How far the smoothed busy share of the workers has come through the span, 0 to 1."""
+        """Return where the busy share lies between `low` (0) and `high` (1)."""
         return min(1.0, max(0.0, (self.busy_share[places].mean() - low) / (high - low)))
 
     def _shed(self, request: Request, now: float) -> bool:
-        """Refuse by chance what lies beyond the tenant's limit, as far as there is pressure."""
+        """Refuse the request at random, by the pressure and its tenant's excess; return if it was refused."""
         places = self.settings.classes[request.job_class].places
         excess, flood = self._excess(request.tenant, request.repeat, now)
         pressure = self._ramp(places, *PRESSURE)
         if flood:
-            # Where workers queue, busy slots show a flood too late.  Other causes of lateness cost nobody.
+            # Busy slots show a flood late where workers queue.  Lateness has other causes: only floods pay.
             pressure = min(1.0, pressure + self.late.mean() / LATE_SHARE)
         if self.under_pressure != (pressure > (0.0 if self.under_pressure else 0.5)):
             self.under_pressure = not self.under_pressure
             self.actions.append(
                 Log("pressure on: refusing beyond the limits" if self.under_pressure else "pressure off"))
-        # Overload within the limits sheds all tenants alike, the class that earns least by a slot first.
+        # Overload within the limits sheds all tenants alike, the class that earns least by slot time first.
         late = self._is_late_repeat(request)
         best = max(map(self._worth_rate, range(len(self.settings.classes))))
         part = 1.0 - self._worth_rate(request.job_class, late) / best if best else 0.0
         early = part * (SHED_LATE if late else SHED_EARLY)
         if request.reply_capacity < (SPARE_LEFT if not early else 1.0):
-            # Held, it would take the last means by which any client is answered.
+            # Queued, it would use the last capacity for replies to any client.
             return self._refuse(request, RefusalReason.DRAINING)
         overload = self._ramp(places, OVERLOAD[0] - early, OVERLOAD[1] - early)
         passed = (1.0 - pressure * excess) * (1.0 - overload)
@@ -197,17 +197,17 @@
         return False
 
     def _is_late_repeat(self, request: Request) -> bool:
-        """Is it a repeat of what has waited past its aim?  It would take the room of what is in time."""
+        """Return whether this repeats a job past its aim; it would take slots from jobs still in time."""
         rule = self.settings.classes[request.job_class]
         return self.shares_notes and request.repeat and rule.give_up - request.budget > rule.aim
 
     def _worth_rate(self, job_class: int, late: bool = False) -> float:
-        """Worth earned by a second of a worker's slot, as far as workers tell when jobs start."""
+        """Return the worth earned by a second of a slot, as far as workers report when jobs start."""
         rule = self.settings.classes[job_class]
         return rule.worth * (rule.late_share if late else 1.0) / exp(self.run_times[job_class].mean())
 
     def _refuse(self, request: Request, reason: RefusalReason, excess: float = 0.0) -> bool:
-        """Tell the client when to come back: once overload can have faded, and its tenant's estimate."""
+        """Refuse, with advice to retry once the overload and the tenant's estimate can have decayed."""
         self.refusals[reason] += 1
         places = self.settings.classes[request.job_class].places
         fades = log(max(1.0, self.busy_share[places].mean() / OVERLOAD[0])) / PRESSURE_FADE
@@ -240,9 +240,9 @@
         queue = not self.shares_notes and self.settings.balancers > FEW and self.jobs.queue(WAITING)
         part = max(1.0, self.own_outstanding.mean() / max(0.05, busy.mean()))
         if queue or deaf and len(self.jobs) - len(self.queued) > part:
-            return False  # what others have out is there unseen
+            return False  # unseen attempts of other dispatchers may be there
         worker = self._draw_by_key(job, now) if job.request.key else None
-        # A fetch anywhere else costs more than a short wait for room where the key's data is.
+        # Fetching the key's data at another worker costs more than a short wait for its home.
         if worker is None and not (job.request.key and now - job.since < KEY_PATIENCE * job.policy.aim):
             worker = self._draw(job, now)
         if worker is not None:
@@ -265,7 +265,7 @@
             self.actions.append(Timer(now + COPY_STEP, job.id * 4 + DEADLINE))
 
     def _check_hedge(self, job: Job, now: float) -> None:
-        """Send a second copy of a job whose answer may never come, lost or hung, while there is room."""
+        """Send a hedged request for a job whose attempt may be lost or hung, while there is room."""
         if job.ended or job.outstanding > 1 or not self._may_attempt(job, now):
             return
         room = self.hedge_tokens >= 1.0 and self.busy_share[job.policy.places].mean() < COPY_ROOM
@@ -279,25 +279,25 @@
         return overdue(job, attempt, self.run_times[job.request.job_class].mean(), self.won.mean() > 0.5, now)
 
     def _queue(self, job: Job, now: float) -> None:
-        """Keep a job for which no worker has room: brief waiting beats both a queue and a refusal."""
+        """Queue a job that no worker has room for: a short wait beats a worker's queue and a refusal."""
         usual = exp(self.run_times[job.request.job_class].mean())
         grace = max(0.0, job.policy.stretch - 1.0) * usual * HOLD_MORE if self.shares_notes else 0.0
         until = job.since + job.policy.aim + grace
-        if job.request.beyond is False:  # within its share it may wait as long as it can still be in time
+        if job.request.beyond is False:  # within its share: it may wait while it can be in time
             until = max(until, job.request.rank - usual)
         shut = self._all_banned(job.policy.places) or not self._may_attempt(job, now)
         if shut or now >= min(until, job.deadline - self.reply_margin):
-            # Nothing more can go out, and the client must not wait for that; or it would make all late.
+            # No attempt can follow, so the client is answered now; or waiting longer would make other jobs late.
             return self._give_up(job)
         self.actions.append(Timer(now + HOLD_STEP, job.id * 4 + HOLD))
         self.queued[job.id] = job
         if not job.has_timer:
-            # No request is lost: a job that is not out has a timer of its own that answers it in time.
+            # Every queued job has a timer that answers it before its deadline.
             job.has_timer = True
             self.actions.append(Timer(job.deadline - self.reply_margin, job.id * 4 + DEADLINE))
 
     def _may_attempt(self, job: Job, now: float) -> bool:
-        """May one more attempt go out?  Never doubles an effect."""
+        """Return whether one more attempt may go out; it never lets an effect happen twice."""
         over = now >= job.deadline - self.reply_margin or len(job.attempts) >= job.max_attempts
         unpaid = bool(job.attempts) and job.request.retry_budget.left(now) < 1.0
         if over or unpaid or job.outstanding and not self.settings.hedging:
@@ -308,24 +308,24 @@
         return rule.effect is Effect.KEYED and now - ran.sent_at <= rule.repeat_window - self.reply_margin
 
     def _allowed(self, places: Places, entry: Entry) -> bool:
-        """Placement: a class bound to some kinds or zones goes nowhere else, even when those are down."""
+        """Return whether a class bound to `places` may use the worker; even if all are down, no other."""
         kinds, zones = places
         return (kinds is None or entry.kind in kinds) and (zones is None or entry.zone in zones)
 
     def _within_budget(self, now: float) -> bool:
-        """May any job have one more attempt beyond its first?  Retries must not multiply an overload."""
+        """Return whether the retry budget allows one more retry; retries must not multiply an overload."""
         free, share, _ = self.settings.budget or (inf, 0.0, 0.0)
         return self.retries.count(now) + 1 <= free + share * self.requests.count(now)
 
     def _may_send(self, job: Job, worker: Worker, now: float) -> bool:
-        """May it go to this worker?"""
+        """Return whether the job may be sent to this worker."""
         if not self._allowed(job.policy.places, worker.entry) or not self._may_attempt(job, now):
             return False
         if not job.attempts:
             return True
         last, ran = job.attempts[-1], job.ran_first()
         if last.worker is worker and now - last.sent_at < FULL_AGE or not self._within_budget(now):
-            return False  # asking a worker that has just turned the job away would use up its attempts
+            return False  # the worker has just rejected the job: it would use up the attempts
         if any(attempt.outstanding and attempt.worker is worker for attempt in job.attempts):
             return False
         if ran is None or job.policy.effect is not Effect.KEYED or job.policy.group is Group.ALL:
@@ -334,7 +334,7 @@
         return same_cell and ran.entry.zone == worker.entry.zone
 
     def _give_up(self, job: Job) -> None:
-        """End the job with a refusal, which promises that a repeat is harmless, else as failed."""
+        """End the job: refused if a repeat by the client is certain to be harmless, else failed."""
         dropped = job.policy.effect is Effect.KEYED and job.policy.group is Group.ALL
         harmless = dropped or job.policy.effect is Effect.SAFE or job.ran_first() is None
         reason = reason_of(job, self._all_banned(job.policy.places))
@@ -343,7 +343,7 @@
         self._close(job)
 
     def _close(self, job: Job) -> None:
-        """Nothing more goes out for the job; what is still out is called off."""
+        """End the job: no further attempts, and those outstanding are cancelled."""
         job.ended = True
         self.queued.pop(job.id, None)
         if job.outstanding == 0:
@@ -352,51 +352,51 @@
             self.actions += [Cancel(job.id, n) for n, a in enumerate(job.attempts) if a.outstanding]
 
     def _warmth(self, worker: Worker, now: float) -> float:
-        """Present share of capacity, guessed low: a cold worker looks empty to everyone at once."""
+        """Return the share of its capacity that a worker has now, estimated low during slow start."""
         return warmth(self.settings, max(worker.started_at, worker.restored_at), now)
 
     def _weight(self, job: Job, worker: Worker, now: float, queue: float = 0.0) -> float:
-        """Reported free slots plus one, less own sends, strikes and shut doors; 0 is never drawn."""
-        # An own attempt that waits to start tells at once of a queue or a hang, and reports tell it late.
+        """Return the draw weight by free slots, reduced by failures and rejections; 0 is never drawn."""
+        # An own attempt that has not started shows a queue or a hang earlier than reports do.
         if now < worker.shunned_until or not self._ready(worker) or worker.waiting > queue:
             return 0.0
         free = worker.reported_free - worker.outstanding if now < worker.report_until else None
         home = self.homes.has(worker, self.settings.me)
         if self.shares_notes:
             free = self._usable_slots(worker, now) - worker.total_outstanding(now)
-            # What is left is for those at home there: others would all meet at it before they hear so.
+            # The last slots are for home dispatchers: others would all pick them before notes arrive.
             free -= 0.0 if home else AWAY_LEFT * self.busy_share[job.policy.places].mean()
         if free is not None and job.request.beyond is not None:
-            free = min(free, worker.slots - worker.outstanding)  # what a late report may promise is not there
+            free = min(free, worker.slots - worker.outstanding)  # a late report may promise too much
         if free is not None and free < 0.5 - queue:
             if job.request.beyond is not None or now < worker.no_room_until or self.shares_notes:
-                return 0.0  # by contract it had better wait here, where who goes next can still be chosen
+                return 0.0  # queued here, the order of jobs can still be chosen
         if (share := self._warmth(worker, now)) < 1.0 and self.shares_notes and not home:
-            return 0.0  # all would meet there, at its start and whenever it is warm enough for more
+            return 0.0  # or all would pick it at its start and as it warms
         if share < 1.0 and worker.slow_start.earn(self._slow_start_rate(worker, share, now), now) < 1.0:
             return 0.0
-        # A worker may turn one class or tenant away though it has room: that is no news of the worker.
-        shut = worker.failures + sum(worker.rejected.read(door, DECAY, now) for door in job.rejection_keys)
+        # A worker with room may reject one class or tenant: that lowers the weight for those alone.
+        shut = worker.failures + sum(worker.rejected.read(key, DECAY, now) for key in job.rejection_keys)
         shut += SLOW_STEEP / log(2) * slowness(worker, self.run_times, now)
-        # Without news of room it counts as its kind does; a thin dispatcher must not double up there.
+        # Without a valid report, assume what its machine kind usually reports.
         free = self.usual_free[worker.entry.kind].mean() if free is None else max(0.0, free)
-        # Reports are late, own attempts out are known: two must not meet by a stale report.
+        # Reports lag, own attempts are known: dividing by them avoids two jobs on one stale free slot.
         return float((1.0 + free) / (1.0 + worker.outstanding) * 0.5**shut)
 
     def _slow_start_rate(self, worker: Worker, share: float, now: float) -> float:
-        """Calls a second that a worker with this share of its capacity may get from here."""
+        """Return the calls a second that a worker at `share` of its capacity may get from this dispatcher."""
         asked = self.admitted.count * DECAY / max(1, len(self._pool(ANYWHERE, -1))) * self.settings.balancers
-        # Under overload more is admitted than is served: a warm one gets no more than its slots can run.
+        # Under overload more is admitted than served, so the rate is capped by what its slots can run.
         warm_rate = min(asked, capacity(worker.slots or self.max_free, self.run_times.values()))
         senders = 1 + len(self.homes.others(worker, self.settings.me)) if self.shares_notes else None
         return sender_rate(self.settings, warm_rate, share, senders, now - self.last_note_at < DEAF[0] / 3)
 
     def _draw(self, job: Job, now: float) -> Worker | None:
-        """Rejection draw by weight among ready workers: own zone first, then all."""
+        """Draw a worker by weight with rejection sampling: home workers, the own zone, then all zones."""
         for worker in self.homes.of(self.settings.me):
             if self.random.random() < self._weight(job, worker, now) and self._may_send(job, worker, now):
                 return worker
-        # Crossings are priced, but where clients crowd into one zone, keeping to it would queue their jobs.
+        # Crossing zones has a cost, but keeping to a crowded zone would queue jobs.
         crowded = self.near.mean() > self.away.mean() + ZONE_SLACK
         for zone in (-1,) if crowded else (self.settings.zone, -1):
             pool = self._pool(job.policy.places, zone)
@@ -413,7 +413,7 @@
         return None
 
     def _key_ring(self, places: Places) -> KeyRing:
-        """Where keys of a class have homes: off the workers whose data a bound class alone needs."""
+        """Return the hash ring for keys of a class, without the workers that bound classes need."""
         ring = self.rings.get(places)
         if ring is None:
             pool, bound = self._pool(places, -1), self.bound_places if places == ANYWHERE else []
@@ -422,15 +422,15 @@
         return ring
 
     def _draw_by_key(self, job: Job, now: float) -> Worker | None:
-        """Draw among the key's homes, the workers next on its ring, where its data was fetched already."""
+        """Draw among the key's homes on the ring and workers that served it lately, which have its data."""
         ring, key = self._key_ring(job.policy.places), (job.request.key, job.policy.places)
         if not ring.size:
             return None  # an empty ring has no place for the key
         count = self.keys.add(key, DECAY, now, not (job.has_timer or job.attempts))
-        # A hot key would overrun a single home: it gets as many as its part of the traffic is worth.
+        # A hot key would overload a single home: the number of homes grows with its share of traffic.
         homes = 1 + int(2 * count / max(1.0, self.admitted.count) * ring.size)
         tries = [ring.owner(job.request.key, int(self.random.random() * homes)) for _ in range(homes)]
-        tries += self.keys[key].served_by  # a fetch is spared there too
+        tries += self.keys[key].served_by  # they have its data too
         for n, worker in enumerate(tries):
             wanted = self.random.random() * (1.0 + self.max_free) if n < homes > 1 else 0.0
             weight = self._weight(job, worker, now, KEY_QUEUE * worker.slots)
@@ -439,26 +439,26 @@
         return None
 
     def _notify(self, at: Worker, now: float, slowdown: float | None = None, failed: bool = False) -> None:
-        """Tell those at home there at once: of little traffic each, all alone would learn too late."""
+        """Send a note on a worker to its home dispatchers: each alone has too little traffic to learn."""
         if self.shares_notes:
             note = self.pending_notes[at.id] = Note(at.id, at.outstanding, slowdown, failed)
             self.actions.append(SendNotes((note,), self.homes.others(at, self.settings.me)))
 
     def _notify_all(self, now: float) -> None:
-        """All hear all, later; what is out for long is told again, as notes grow old and may be lost."""
+        """Broadcast pending notes; repeat those on long attempts, as notes expire and may be lost."""
         old = (w for w in self.workers.values() if w.outstanding and now - w.published_at > NOTE_AGAIN)
         self.pending_notes = {w.id: Note(w.id, w.outstanding) for w in old} | self.pending_notes
-        for told in self.pending_notes:
-            self.workers[told].published_at = now
+        for worker_id in self.pending_notes:
+            self.workers[worker_id].published_at = now
         self.actions.append(SendNotes(tuple(self.pending_notes.values())))
         self.actions.append(Timer(now + NOTE_EVERY * (0.5 + self.random.random()), NOTES))
         self.pending_notes = {}
 
     def on_notes(self, peer: int, notes: tuple[Note, ...], now: float) -> list[Action]:
-        """Another dispatcher tells what it has out, and how what it had out ended."""
+        """Apply notes of another dispatcher: its outstanding attempts, and how ended ones did."""
         self.actions, self.last_note_at = [], now if self.settings.balancers > FEW else self.last_note_at
         for note in notes:
-            if (worker := self.workers.get(note.worker)) is not None:  # else its list is newer or older
+            if (worker := self.workers.get(note.worker)) is not None:  # else the lists differ
                 worker.record_peer(peer, note.outstanding, now, now + NOTE_AGE)
                 if note.failed:
                     self._record_failure(worker, now)
@@ -468,29 +468,29 @@
         return self.actions
 
     def _measure_load(self, now: float) -> None:
-        """The share of slots busy, by what all dispatchers have in work."""
+        """Update the busy shares from the outstanding attempts of all dispatchers."""
         self.counted_at = now
         if DEAF[0] < now - self.last_note_at < DEAF[1]:
-            return  # own attempts alone would look like a fleet at rest
+            return  # own attempts alone would make the fleet look idle
         self.own_outstanding.observe(len(self.jobs) - len(self.queued), now)
         for places, busy in self.busy_share.items():
             pool = self._pool(places, -1)
             size = max(1.0, sum(self._usable_slots(worker, now) for worker in pool))
             busy.observe(min(1.0, sum(worker.total_outstanding(now) for worker in pool) / size), now)
 
-    def _usable_slots(self, worker: Worker, now: float) -> float:  # a cold one has fewer slots than it says
+    def _usable_slots(self, worker: Worker, now: float) -> float:  # fewer while cold
         share = min(1.0, self.cold_factor * self._warmth(worker, now))
         return max(1.0, (worker.slots or self.max_free) * share)
 
     def _record_report(self, worker: Worker, report: Report | None, now: float) -> None:
         if report is None or report.free is None:
             return
-        # A late report shows own attempts as they were a moment ago: the emptiest would be crowded.
+        # Reports lag: they are corrected by the attempts that were outstanding a moment ago.
         in_flight = report.in_flight or 0.0
         queued = report.queue if report.queue is not None else max(0.0, in_flight - worker.slots)
         worker.reported_free = report.free - queued + worker.change_outstanding(0, REPORT_FADE, now)
         worker.report_until = now + REPORT_AGE
-        # Shut out for long it crowds the rest, unless 'full' is common; told starts say sooner what waits.
+        # A long exclusion crowds other workers, unless FULL is common; reported starts show queues sooner.
         part = FULL_PART * self.full.mean() + (0.0 if self.settings.tells_start else NO_ROOM_PART)
         worker.no_room_until = now + REPORT_AGE * min(1.0, part)
         running = in_flight - queued if report.free >= 1.0 else 0.0
@@ -504,7 +504,7 @@
         (self.near if worker.entry.zone == self.settings.zone else self.away).observe(load, now)
 
     def on_report(self, at: WorkerId, report: Report, now: float) -> list[Action]:
-        """A worker tells of its load unasked: room for a held job, but no proof that it serves any."""
+        """Apply an unsolicited load report: it may place a queued job, but is no proof of health."""
         self.actions = []
         if at in self.workers:
             self.workers[at].lagged_outstanding = self.workers[at].outstanding  # current, not lagged
@@ -513,7 +513,7 @@
         return self.actions
 
     def _place_queued(self, now: float) -> None:
-        """Room may have come up: first by contract, then by what a class earns, then by how long it waits."""
+        """Try the queued job that is first by contract, then by the worth of its class, then by age."""
         if self.queued:
             self._place(max(self.queued.values(), key=self._priority), now)
 
@@ -522,7 +522,7 @@
         return not job.request.beyond, -job.request.rank, worth
 
     def _record_failure(self, worker: Worker, now: float) -> None:
-        """A fast failer must not attract work; a silent one must lose weight and be retried gently."""
+        """Count a failure and exclude the worker for a time, so that a fast failer attracts no jobs."""
         worker.failures = min(MAX_FAILURES, worker.failures + 1)
         worker.shunned_until = now + after_failure(worker.failures, self.failing.mean(), self.random.random())
 
@@ -534,7 +534,7 @@
         attempt = job.attempts[event.attempt]
         attempt.end(event.status not in self.never_ran)
         if event.status is Status.NOT_SENT and event.attempt and attempt.sent_at in self.retries.times:
-            self.retries.times.remove(attempt.sent_at)  # it was never sent
+            self.retries.times.remove(attempt.sent_at)  # a retry that was not sent is not counted
             job.request.retry_budget.give_back(now)
         job.outstanding -= 1
         self._record_outcome(job, attempt, event, now)
@@ -546,7 +546,7 @@
         return self.actions
 
     def _record_outcome(self, job: Job, attempt: Attempt, event: Outcome, now: float) -> None:
-        """What an attempt's end tells of the worker."""
+        """Update what is known of the worker from the end of an attempt."""
         worker, full, slowdown = attempt.worker, event.status is Status.FULL, None
         worker.change_outstanding(-attempt.counts, REPORT_FADE, now)
         self.full.observe(float(full), now)
@@ -554,7 +554,7 @@
             self.failing.observe(float(event.status in FAILURE_STATUSES), now)
         report = event.report or (Report(0.0) if full else None)
         if event.status is Status.OK or report and event.status is not Status.ERROR:
-            worker.failures, worker.shunned_until = 0, min(worker.shunned_until, now)  # a sign of life
+            worker.failures, worker.shunned_until = 0, min(worker.shunned_until, now)  # it responds
             self._record_report(worker, report, now)
         if event.status is Status.OK and job.outstanding:
             faster = attempt is not next(a for a in job.attempts if a.outstanding or a is attempt)
@@ -562,8 +562,8 @@
             self.hedge_tokens = min(COPY_MOST, self.hedge_tokens + COPY_WON * faster)
         if event.status is Status.OK:
             worker.rejections = 0
-            for door in job.rejection_keys:
-                worker.rejected.halve(door)
+            for key in job.rejection_keys:
+                worker.rejected.halve(key)
             if attempt.started:
                 usual, run = self.run_times[job.request.job_class], log(max(1e-3, now - attempt.started))
                 slowdown = run - usual.mean()
@@ -574,8 +574,8 @@
             if (job.request.key, job.policy.places) in self.keys:
                 self.keys[job.request.key, job.policy.places].note(worker, KEY_PLACES)
         if full:
-            for door in job.rejection_keys:
-                worker.rejected.add(door, DECAY, now)
+            for key in job.rejection_keys:
+                worker.rejected.add(key, DECAY, now)
             worker.reported_free, worker.no_room_until = worker.outstanding, now + FULL_AGE
             worker.rejections += 1
             worker.shunned_until = now + after_rejections(worker.rejections)
@@ -584,7 +584,7 @@
         self._notify(worker, now, slowdown, event.status in FAILURE_STATUSES)
 
     def on_started(self, job_id: int, attempt: int, now: float) -> list[Action]:
-        """The worker has begun to run an attempt: what came before was its queue."""
+        """Record that the worker has begun to run an attempt; the time before was spent in its queue."""
         if (job := self.jobs.get(job_id)) is not None and attempt < len(job.attempts):
             job.attempts[attempt].start(now)
         return []
@@ -605,7 +605,7 @@
         return self.actions
 
     def on_accepted(self, job_id: int, attempt: int, now: float) -> list[Action]:
-        """A stream has begun: it belongs to the client, and nothing more may go out for it."""
+        """End a job whose response has begun: no further attempts, and all others are cancelled."""
         return [action for action in self.on_withdrawn(job_id, now) if action != Cancel(job_id, attempt)]
 
     def on_withdrawn(self, job_id: int, now: float) -> list[Action]:
