--- a/benchmarks/checks/exchange.py
+++ b/benchmarks/checks/exchange.py
@@ -41,7 +41,7 @@
         taken = super().on_datagram(data, now)
         if taken:
             for peer in self._peers.values():
-                peer.taken = [(steps, now + self.terms.lease) for steps, _ in peer.taken]
+                peer.received_steps = [(steps, now + self.terms.lease) for steps, _ in peer.received_steps]
         return taken
 
 
@@ -95,10 +95,10 @@
     """What tells states apart: times as ages, so that the same story an hour later is the same."""
     told: list[Any] = [state.lives, len(state.late)]
     for node in state.nodes:
-        told.append(round(now - node._born, 1) if now - node._born < TERMS.lease else None)
+        told.append(round(now - node._started_at, 1) if now - node._started_at < TERMS.lease else None)
         for peer in node._peers.values():
             age = round(now - peer.received_at, 1) if now - peer.received_at < 2 * TERMS.lease else None
-            taken = [(s, round(until - now, 1)) for s, until in peer.taken if until > now]
+            taken = [(s, round(until - now, 1)) for s, until in peer.received_steps if until > now]
             ceded = [(given.rows, round(given.until - now, 1)) for given in peer.ceded if given.until > now]
             heard = [round(now - at, 1) for number, at in peer.sent.items() if now - at < TERMS.lease]
             told.append((age, peer.demand, taken, ceded, heard))
--- a/thistleshore/contracts/ledger.py
+++ b/thistleshore/contracts/ledger.py
@@ -59,20 +59,20 @@
     """State of one member under one contract."""
 
     __slots__ = (
-        "born",
+        "started_at",
         "bucket",
         "contract",
         "counts",
         "demand",
         "demand_at",
         "allotment",
-        "lately",
+        "slow_demand",
         "member",
-        "over",
+        "beyond_since",
         "retries",
         "run",
         "refilled_at",
-        "usual",
+        "median_run",
         "waiting",
     )
 
@@ -82,36 +82,37 @@
         self.bucket = inf  # until the first guarantee is known
         self.refilled_at = now
         self.demand, self.demand_at = 0.0, now  # slot-seconds requested, with exponential decay
-        self.usual = (
-            contract.run
-        )  # median `run` over the contract's members, so that heavy jobs do not allow a larger burst
-        self.lately, self.born = 0.0, now  # as `demand`, with slower decay; and when counting began
+        # The median of `run` over the contract's members, so that heavy jobs do not allow a larger burst.
+        self.median_run = contract.run
+        self.slow_demand, self.started_at = 0.0, now  # as `demand`, with slower decay; and when counting began
         self.run = contract.run  # expected run time of a job, seconds
-        self.over = inf  # when it went beyond its share; inf: it is within
+        self.beyond_since = inf  # when it went beyond its share; inf: it is within
         self.waiting: dict[int, int] = {}  # bytes of each waiting stream, latest last
         self.retries = RetryBudget(member.terms.retries, now)
         self.counts = dict.fromkeys(
             ("offered", "within", "beyond", "served", "in_time", "late", "refused", "failed"), 0
         )
 
-    def asked(self, now: float) -> float:
+    def demanded_slots(self, now: float) -> float:
         """Return the slots requested lately: work per second."""
         return self.demand * exp(DEMAND_DECAY * min(0.0, self.demand_at - now)) * DEMAND_DECAY
 
-    def asked_lately(self, now: float) -> float:
+    def slow_demanded_slots(self, now: float) -> float:
         """Return the slots requested over a longer time, corrected for the short history after the start."""
-        filled = 1.0 - exp(SLOW_DEMAND_DECAY * min(-0.5, self.born - now))
-        return self.lately * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) * SLOW_DEMAND_DECAY / filled
+        filled = 1.0 - exp(SLOW_DEMAND_DECAY * min(-0.5, self.started_at - now))
+        return self.slow_demand * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) * SLOW_DEMAND_DECAY / filled
 
-    def ask(self, work: float, now: float) -> None:
+    def add_demand(self, work: float, now: float) -> None:
         """Add the expected work of a new stream, slot-seconds."""
-        self.lately = self.lately * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) + work
+        self.slow_demand = self.slow_demand * exp(SLOW_DEMAND_DECAY * min(0.0, self.demand_at - now)) + work
         self.demand = self.demand * exp(DEMAND_DECAY * min(0.0, self.demand_at - now)) + work
         self.demand_at = max(now, self.demand_at)
 
-    def cap(self) -> float:
+    def bucket_capacity(self) -> float:
         """Return the capacity of the bucket, slot-seconds."""
-        return max(self.member.terms.burst * self.allotment, self.member.terms.jobs * min(self.run, 2 * self.usual))
+        return max(
+            self.member.terms.burst * self.allotment, self.member.terms.jobs * min(self.run, 2 * self.median_run)
+        )
 
 
 class _Member:
@@ -137,14 +138,14 @@
     demand: float
 
 
-class _Open:
+class _OpenStream:
     """A stream without a final answer, or with attempts in flight."""
 
-    __slots__ = ("charged", "offered", "opened", "sent", "stamp", "state", "until", "worked")
+    __slots__ = ("charged", "offered", "opened", "sent", "stamp", "state", "wait_until", "worked")
 
-    def __init__(self, state: _ShareState, stamp: Stamp, charged: float, opened: float, until: float) -> None:
+    def __init__(self, state: _ShareState, stamp: Stamp, charged: float, opened: float, wait_until: float) -> None:
         self.state, self.stamp, self.charged, self.opened = state, stamp, charged, opened
-        self.until = until  # when its wait in the ledger ends
+        self.wait_until = wait_until  # when its wait in the ledger ends
         self.offered = False
         self.sent = 0  # attempts
         self.worked = 0.0  # slot-seconds of attempts that have ended
@@ -172,11 +173,11 @@
         # Shares with waiting streams, including those of removed agreements.
         self._backlogged: dict[_ShareState, None] = {}
         self._offers: list[Offer] = []  # to be returned by the next call of `due`
-        self._free: list[float] = []
-        self._room_at = -inf
+        self._free_slots: list[float] = []
+        self._free_slots_at = -inf
         self._unsent_within = 0  # streams within share that are offered and not sent yet
         self.slots: Sequence[float] = ()
-        self._open: dict[int, _Open] = {}
+        self._streams: dict[int, _OpenStream] = {}
         self._virtual_time = 0.0
         self._refreshed_at = -inf
         self._members: dict[str, _Member] = {}
@@ -191,22 +192,24 @@
 
         A removed contract drains: its streams keep their standing to the end, and no new ones join.
         """
-        before = {(state.member.terms.name, state.contract.name): state for state in self._states.values()}
-        members, self._members, self._states = self._members, {}, {}
+        previous = {(state.member.terms.name, state.contract.name): state for state in self._states.values()}
+        former_members, self._members, self._states = self._members, {}, {}
         self._siblings: dict[tuple[int, int], list[tuple[ShareKey, _ShareState]]] = {}  # by member and service
         self._by_contract: dict[int, list[_ShareState]] = {}  # by contract
-        for m, terms in enumerate(agreements.members):
-            member = members.get(terms.name) or _Member(terms, now)
+        for member_number, terms in enumerate(agreements.members):
+            member = former_members.get(terms.name) or _Member(terms, now)
             member.terms, member.retries.terms = terms, terms.retries
             self._members[terms.name] = member
-            for c, contract in enumerate(agreements.contracts):
-                state = before.get((terms.name, contract.name)) or _ShareState(member, contract, now)
+            for contract_number, contract in enumerate(agreements.contracts):
+                state = previous.get((terms.name, contract.name)) or _ShareState(member, contract, now)
                 state.member, state.contract, state.retries.terms = member, contract, terms.retries
-                self._states[ShareKey(m, c)] = state
-                self._by_contract.setdefault(c, []).append(state)
-                self._siblings.setdefault((m, contract.service), []).append((ShareKey(m, c), state))
+                self._states[ShareKey(member_number, contract_number)] = state
+                self._by_contract.setdefault(contract_number, []).append(state)
+                self._siblings.setdefault((member_number, contract.service), []).append(
+                    (ShareKey(member_number, contract_number), state)
+                )
         self.agreements = agreements
-        self._numbers = {terms.name: m for m, terms in enumerate(agreements.members)}
+        self._numbers = {terms.name: member_number for member_number, terms in enumerate(agreements.members)}
         self._refreshed_at = -inf
 
     def _refresh(self, now: float) -> None:
@@ -219,23 +222,24 @@
             return
         self._refreshed_at = now
         self.slots = self.capacity()
-        for alike in self._by_contract.values():
-            usual = sorted(state.run for state in alike)[len(alike) // 2]
-            for state in alike:
-                state.usual = usual
-        for (m, service), shares in self._siblings.items():
-            member = self.agreements.members[m]
-            room = member.share * self.agreements.scale * self._slots(service)
+        for states in self._by_contract.values():
+            median_run = sorted(state.run for state in states)[len(states) // 2]
+            for state in states:
+                state.median_run = median_run
+        for (member_number, service), shares in self._siblings.items():
+            member = self.agreements.members[member_number]
+            guaranteed = member.share * self.agreements.scale * self._slots(service)
             weights = [member.weights.get(state.contract.name, 1.0) for _, state in shares]
-            parts = share_max_min(room, [DEMAND_MARGIN * state.asked(now) for _, state in shares], weights)
-            spare, heavy = max(0.0, room - sum(parts)), sum(weights) or 1.0
+            parts = share_max_min(
+                guaranteed, [DEMAND_MARGIN * state.demanded_slots(now) for _, state in shares], weights
+            )
+            left_over, total_weight = max(0.0, guaranteed - sum(parts)), sum(weights) or 1.0
             for (key, state), part, weight in zip(shares, parts, weights, strict=True):
                 self._refill(state, now)
-                state.allotment = (part + spare * weight / heavy) * self.part(key)
+                state.allotment = (part + left_over * weight / total_weight) * self.part(key)
                 if state.allotment <= 0.0 < self._slots(service):
-                    state.bucket = min(
-                        state.bucket, 0.0
-                    )  # no guarantee: end the unlimited bucket of the time before capacity was known
+                    # No guarantee: end the unlimited bucket of the time before the capacity was known.
+                    state.bucket = min(state.bucket, 0.0)
 
     def _service(self, key: ShareKey) -> int:
         return self.agreements.contracts[key.contract].service
@@ -246,7 +250,9 @@
     def _refill(self, state: _ShareState, now: float) -> None:
         # A clock that jumps back adds nothing; one that jumps ahead fills the bucket, at most one burst.
         if state.allotment:
-            state.bucket = min(state.cap(), state.bucket + state.allotment * max(0.0, now - state.refilled_at))
+            state.bucket = min(
+                state.bucket_capacity(), state.bucket + state.allotment * max(0.0, now - state.refilled_at)
+            )
         state.refilled_at = now
 
     def _over_ceiling(self, member: _Member, service: int, work: float, now: float) -> bool:
@@ -279,11 +285,11 @@
         self._refresh(now)
         name = member if member in self._numbers else OTHER_MEMBERS
         number = self._numbers.get(name, -1)
-        state = self._states.get(ShareKey(number, contract)) or self._uncovered(contract, now)
+        state = self._states.get(ShareKey(number, contract)) or self._state_without_agreement(contract, now)
         self._refill(state, now)
         state.counts["offered"] += 1
         work, service = state.run, state.contract.service
-        state.ask(work, now)
+        state.add_demand(work, now)
         budget = CombinedRetryBudget(state.retries, state.member.retries)
         unpaid = False
         if not repeat:
@@ -294,25 +300,25 @@
         else:
             unpaid = True  # repeats beyond the budget are served last: a retry storm must not use anyone's share
         barred = self._over_ceiling(state.member, service, work, now)
-        payer = state if state.bucket > 0.0 else self._sibling(number, state, work, now)
+        payer = state if state.bucket > 0.0 else self._paying_sibling(number, state, work, now)
         within = number >= 0 and payer is not None and not unpaid and not barred
         charged = 0.0
         if within and payer is not None:
             state.counts["within"] += 1
-            charged, state.over = work, inf
+            charged, state.beyond_since = work, inf
             payer.bucket -= work
             rank = now + state.contract.aim + state.contract.stretch * work
         else:
             state.counts["beyond"] += 1
-            state.over = min(state.over, now)
+            state.beyond_since = min(state.beyond_since, now)
             weight = max(MIN_WEIGHT, state.member.terms.share)
             rank = max(self._virtual_time, state.member.tag)
             state.member.tag = rank + work / weight
             rank += UNPAID_REPEAT_RANK if unpaid else 0.0
         stamp = Stamp(ShareKey(number, contract), not within, rank, barred)
         # Offered for refusal well before the client gives up, so that the answer arrives in time.
-        until = now + min(state.contract.aim, 0.8 * patience)
-        self._open[stream] = _Open(state, stamp, charged, now, until)
+        wait_until = now + min(state.contract.aim, 0.8 * patience)
+        self._streams[stream] = _OpenStream(state, stamp, charged, now, wait_until)
         if within or barred:
             self._offer(stream, 0.0 if barred else 1.0)
         else:
@@ -323,10 +329,10 @@
 
     def _offer(self, stream: int, spare: float = 1.0) -> None:
         """Queue a stream to be offered to the module, which is responsible for it from then on."""
-        found = self._open[stream]
-        found.state.waiting.pop(stream, None)
-        found.offered = True
-        if not found.stamp.beyond and spare:
+        open_stream = self._streams[stream]
+        open_stream.state.waiting.pop(stream, None)
+        open_stream.offered = True
+        if not open_stream.stamp.beyond and spare:
             self._unsent_within += 1
         self._offers.append(Offer(stream, spare))
 
@@ -334,39 +340,39 @@
         """Return what to offer now, in order; called after every event, and every `STEP` while streams wait."""
         self._shed_excess()
         self._offer_overdue(now)
-        kept: list[tuple[float, int]] = []
+        postponed: list[tuple[float, int]] = []
         while self._queue:
             rank, stream = self._queue[0]
-            found = self._open.get(stream)
-            if found is None or found.offered:
+            open_stream = self._streams.get(stream)
+            if open_stream is None or open_stream.offered:
                 heappop(self._queue)  # answered, withdrawn or shed
-            elif self._lendable(found.state.contract.service, now):
+            elif self._lendable(open_stream.state.contract.service, now):
                 heappop(self._queue)
                 self._virtual_time = max(self._virtual_time, rank if rank < UNPAID_REPEAT_RANK else 0.0)
-                if self._slots(found.state.contract.service):  # with unknown capacity there is no count to lower
-                    self._free[found.state.contract.service] -= 1.0
+                if self._slots(open_stream.state.contract.service):  # with unknown capacity there is no count to lower
+                    self._free_slots[open_stream.state.contract.service] -= 1.0
                 self._offer(stream)
             elif self.agreements.services > 1:
-                kept.append(heappop(self._queue))  # another service may have free slots
+                postponed.append(heappop(self._queue))  # another service may have free slots
             else:
                 break
-        for item in kept:
+        for item in postponed:
             heappush(self._queue, item)
-        told, self._offers = self._offers, []
-        return told
+        offers, self._offers = self._offers, []
+        return offers
 
     def _lendable(self, service: int, now: float) -> bool:
         """Return whether a slot is free that no stream within share needs."""
         if not self._slots(service):
             return True  # capacity unknown: the module decides
-        if now - self._room_at > FREE_SLOTS_AGE or now < self._room_at:
+        if now - self._free_slots_at > FREE_SLOTS_AGE or now < self._free_slots_at:
             # All instances see the same free slots, with a delay, and none sees what the others are about to send.
             share = RESERVED_PART + RESERVED_PER_PEER * (self.agreements.instances - 1)
-            kept = [max(1.0, share * slots) for slots in self.slots]
-            free = zip(self.room(), kept, strict=True)
-            self._free = [(room - back) / self.agreements.instances for room, back in free]
-            self._room_at = now
-        return self._free[service] - self._unsent_within >= 1.0
+            reserved = [max(1.0, share * slots) for slots in self.slots]
+            pairs = zip(self.room(), reserved, strict=True)
+            self._free_slots = [(free - held) / self.agreements.instances for free, held in pairs]
+            self._free_slots_at = now
+        return self._free_slots[service] - self._unsent_within >= 1.0
 
     def _offer_overdue(self, now: float) -> None:
         """Offer overdue streams for refusal: a late answer would occupy a slot and be of little use."""
@@ -374,7 +380,7 @@
             if not state.waiting:
                 del self._backlogged[state]
             for stream in list(state.waiting):
-                if now >= self._open[stream].until:
+                if now >= self._streams[stream].wait_until:
                     self._offer(stream, 0.0)
 
     @property
@@ -382,20 +388,20 @@
         """How many streams wait here."""
         return sum(len(state.waiting) for state in self._backlogged)
 
-    def _sibling(self, member: int, state: _ShareState, work: float, now: float) -> _ShareState | None:
+    def _paying_sibling(self, member: int, state: _ShareState, work: float, now: float) -> _ShareState | None:
         """Return another contract of the member that can pay: the one with most left beyond half of its bucket.
 
         The member as a whole is within its share then, although one contract has more arrivals than usual.
         """
-        best, most = None, 0.0
+        best, max_spare = None, 0.0
         for _, other in self._siblings.get((member, state.contract.service), ()):
             if other is not state:
                 self._refill(other, now)
-                if (spare := other.bucket - work - other.cap() / 2) > most:
-                    best, most = other, spare
+                if (left_over := other.bucket - work - other.bucket_capacity() / 2) > max_spare:
+                    best, max_spare = other, left_over
         return best
 
-    def _uncovered(self, contract: int, now: float) -> _ShareState:
+    def _state_without_agreement(self, contract: int, now: float) -> _ShareState:
         """Return the state of streams without an agreement."""
         return self._states.setdefault(
             ShareKey(-1, contract),
@@ -404,49 +410,49 @@
 
     def on_sent(self, stream: int, now: float) -> None:
         """Record that an attempt is sent: the stream waits no more."""
-        found = self._open.get(stream)
-        if found is None:
+        open_stream = self._streams.get(stream)
+        if open_stream is None:
             return
-        if not found.sent and not found.stamp.beyond:
+        if not open_stream.sent and not open_stream.stamp.beyond:
             self._unsent_within -= 1
-        found.sent += 1
+        open_stream.sent += 1
 
     def on_attempt_ended(self, stream: int, worked: float, now: float) -> None:
         """Record the end of an attempt that occupied a slot for `worked` seconds; 0: it never ran."""
-        found = self._open.get(stream)
-        if found is None or worked <= 0.0:
+        open_stream = self._streams.get(stream)
+        if open_stream is None or worked <= 0.0:
             return
-        state = found.state
+        state = open_stream.state
         state.run += RUN_WEIGHT * (worked - state.run)
-        found.worked += worked
-        if not found.stamp.beyond:  # borrowed slots are charged to no guarantee
+        open_stream.worked += worked
+        if not open_stream.stamp.beyond:  # borrowed slots are charged to no guarantee
             self._refill(state, now)
-            state.bucket = max(-MAX_DEBT * state.allotment, state.bucket - (worked - found.charged))
-            found.charged = 0.0  # further attempts are charged in full
+            state.bucket = max(-MAX_DEBT * state.allotment, state.bucket - (worked - open_stream.charged))
+            open_stream.charged = 0.0  # further attempts are charged in full
 
     def on_answered(self, stream: int, kind: str, now: float) -> None:
         """Record the final answer: `served`, `refused`, `failed`, or `withdrawn` by the client."""
-        found = self._open.get(stream)
-        if found is None:
+        open_stream = self._streams.get(stream)
+        if open_stream is None:
             return
-        state = found.state
+        state = open_stream.state
         state.waiting.pop(stream, None)
-        if found.offered and not found.sent and not found.stamp.beyond:
+        if open_stream.offered and not open_stream.sent and not open_stream.stamp.beyond:
             self._unsent_within -= 1
-        never, found.sent = not found.sent, max(1, found.sent)  # it needs no slot any more
+        never_sent, open_stream.sent = not open_stream.sent, max(1, open_stream.sent)  # it needs no slot any more
         if kind in state.counts:
             state.counts[kind] += 1
         if kind == "served":
-            run = found.worked or state.run
-            fine = now - found.opened <= state.contract.aim + state.contract.stretch * run
-            state.counts["in_time" if fine else "late"] += 1
-        if never and found.charged:  # it used no slot: give its charge back
-            state.bucket = min(state.cap(), state.bucket + found.charged)
-            found.charged = 0.0
+            run = open_stream.worked or state.run
+            in_time = now - open_stream.opened <= state.contract.aim + state.contract.stretch * run
+            state.counts["in_time" if in_time else "late"] += 1
+        if never_sent and open_stream.charged:  # it used no slot: give its charge back
+            state.bucket = min(state.bucket_capacity(), state.bucket + open_stream.charged)
+            open_stream.charged = 0.0
 
     def on_forgotten(self, stream: int) -> None:
         """Drop a stream that is answered and has no attempts in flight."""
-        self._open.pop(stream, None)
+        self._streams.pop(stream, None)
 
     # -- waiting streams ---------------------------------------------------------------------------
 
@@ -454,48 +460,48 @@
         """Offer streams for refusal while more wait than the limits allow."""
         states = [state for state in self._backlogged if state.waiting]
         while states:
-            full = [state for state in states if len(state.waiting) > self.agreements.max_waiting_per_share]
+            over_limit = [state for state in states if len(state.waiting) > self.agreements.max_waiting_per_share]
             size = sum(sum(state.waiting.values()) for state in states)
             over = sum(len(state.waiting) for state in states) > self.agreements.max_waiting
-            if not full and not over and size <= self.agreements.max_waiting_bytes:
+            if not over_limit and not over and size <= self.agreements.max_waiting_bytes:
                 return
             # The share that has been exceeded longest loses its latest stream, which has waited least.
-            longest = min(full or states, key=lambda state: state.over)
-            self._offer(next(reversed(longest.waiting)), 0.0)
+            longest_beyond = min(over_limit or states, key=lambda state: state.beyond_since)
+            self._offer(next(reversed(longest_beyond.waiting)), 0.0)
             states = [state for state in states if state.waiting]
 
     # -- reports ----------------------------------------------------------------------------
 
     def demands(self, now: float) -> dict[ShareKey, float]:
         """Return the demand of each share here, as a part of the member's guarantee over all instances."""
-        told = {}
+        demands = {}
         for key, state in self._states.items():
             if key.member >= 0:
-                room = (
+                guaranteed = (
                     self.agreements.members[key.member].share * self.agreements.scale * self._slots(self._service(key))
                 )
-                told[key] = state.asked_lately(now) / room if room > 0.0 else 0.0
-        return told
+                demands[key] = state.slow_demanded_slots(now) / guaranteed if guaranteed > 0.0 else 0.0
+        return demands
 
     def tree(self, now: float) -> list[Guarantee]:
         """Return the present guarantees, allotments and demands of all members and contracts."""
         self._refresh(now)
         keys = [key for key in self._states if key.member >= 0]
-        told: list[Guarantee] = []
+        rows: list[Guarantee] = []
         for service in range(self.agreements.services):
             here = [key for key in keys if self._service(key) == service]
             states = [self._states[key] for key in here]
-            asked = [state.asked(now) for state in states]
+            demanded_slots = [state.demanded_slots(now) for state in states]
             ceilings = [
                 inf if (c := self.agreements.members[key.member].ceiling) is None else c * self._slots(service)
                 for key in here
             ]
-            lent = lend(self._slots(service), [state.allotment for state in states], asked, ceilings)
-            for key, state, allotted, demand in zip(here, states, lent, asked, strict=True):
-                told.append(
+            lent = lend(self._slots(service), [state.allotment for state in states], demanded_slots, ceilings)
+            for key, state, allotted, demand in zip(here, states, lent, demanded_slots, strict=True):
+                rows.append(
                     Guarantee(key, state.member.terms.name, state.contract.name, state.allotment, allotted, demand)
                 )
-        return told
+        return rows
 
     def figures(self, now: float) -> list[ShareFigures]:
         """Return counts and state of every member under every contract that has had a stream."""
@@ -508,7 +514,7 @@
                 retries_paid=state.retries.spent,
                 budget_left=CombinedRetryBudget(state.retries, state.member.retries).left(now),
                 allotment=state.allotment,
-                demand=state.asked(now),
+                demand=state.demanded_slots(now),
                 waiting=len(state.waiting),
             )
             for state in self._states.values()
@@ -518,4 +524,4 @@
     @property
     def open(self) -> int:
         """How many streams are registered."""
-        return len(self._open)
+        return len(self._streams)
