--- a/thistleshore/fleet/carrier.py
+++ b/thistleshore/fleet/carrier.py
@@ -1,4 +1,4 @@
-"""One process's part in the fleet: a UDP socket, the one task that owns the machine, and who is told of its events."""
+"""I/O of fleet membership: the UDP socket, the task that owns the state machine, and the subscribers to its events."""
 
 from __future__ import annotations
 
@@ -24,23 +24,29 @@
 
 log = logging.getLogger("thistleshore")
 
-LOOK = 0.1  # s between two looks at how this process serves
-WAITING_MOST = 512  # datagrams that wait for the machine; beyond that they are dropped and counted, as by a full buffer
-RATE, RATE_EACH = 500.0, 40.0  # datagrams a second that are looked at, and for each member more
-FLOODED = 0.01  # s for which a flood is left to the kernel's buffer
-GOODBYES, GOODBYE_GAP = 3, 0.02  # a goodbye may be lost
-BOUND_AGAIN = 1.0  # s before an address that is taken is tried again
-APART = 64  # incarnations that the next process of a hot restart begins above those of the one before
-DISTRIBUTION = b"tC"  # how datagrams begin that are of the distribution of configuration, not of the view
-NUMBERS_APART = 100_000  # and numbers of datagrams: the one before goes on sending until the next one serves
+LOOK = 0.1  # seconds between two checks of this process's service state
+WAITING_MOST = 512  # datagrams that are queued for the state machine; further ones are dropped and counted
+RATE, RATE_EACH = 500.0, 40.0  # datagrams processed per second, and the increase for each member
+FLOODED = 0.01  # seconds without reading from the socket once the rate is exceeded
+GOODBYES, GOODBYE_GAP = 3, 0.02  # transmissions of a leave, as datagrams may be lost, and the seconds after each
+BOUND_AGAIN = 1.0  # seconds before another attempt to bind the socket
+APART = 64  # incarnations by which the successor of a hot restart starts above its predecessor
+DISTRIBUTION = b"tC"  # magic of the datagrams that distribute configuration; they share the socket
+# Sequence numbers by which it starts above its predecessor, which sends until the successor serves.
+NUMBERS_APART = 100_000
 
 
 class Carrier:
-    """Carries the machine's actions out.  `service` says how this process serves; `fingerprint` is of its file."""
+    """Runs the membership state machine on a UDP socket and executes its actions."""
 
     def __init__(self, plan: FleetPlan, name: str, service: Callable[[], Service], fingerprint: str,
                  before: Mapping[str, Any] | None = None, inherited: sockets.socket | None = None) -> None:  # fmt: skip
-        """`before` and `inherited` are what a hot restart leaves: the same life goes on, on the same socket."""
+        """Prepare the membership; `run` begins it.
+
+        `service` returns the service state of this process, `fingerprint` is that of its settings file.  After a hot
+        restart, `before` is the predecessor's `handover_state`, whose generation continues here, and `inherited` its
+        socket.
+        """
         self.plan, self.service = plan, service
         networks = address_set("fleet.from", plan.networks)
         self._allowed: dict[str, bool] = {}
@@ -49,7 +55,7 @@
             if (found := self._allowed.get(host)) is None:
                 number = ip_number(host)
                 found = number is not None and networks.has(number)
-                if len(self._allowed) < 4096:  # a flood of false senders must not fill the memory
+                if len(self._allowed) < 4096:  # bounds the memory that forged sender addresses can use
                     self._allowed[host] = found
             return found
 
@@ -63,10 +69,10 @@
         now = trio.current_time()
         self.machine = Fleet(plan.name, me, plan.terms, plan.seeds, now, int.from_bytes(os.urandom(8), "big"), allowed,
                              number)  # fmt: skip
-        # Answers the calls of what the fleet agrees on: a name and its arguments.
+        # Answers the operators' calls to the register: a name and its arguments.  None: no register here.
         self.register_call: Callable[[str, tuple[str, ...]], Awaitable[Any]] | None = None
         self.is_allowed = allowed
-        # Takes the datagrams of the distribution of configuration, which come in on the same socket.
+        # Receives the datagrams of the configuration's distribution, which arrive on the same socket.
         self.on_distribution: Callable[[bytes, Address], None] | None = None
         self.configuration_call: Callable[[str, tuple[str, ...]], Awaitable[Any]] | None = None
         self.subscribers: list[trio.MemorySendChannel[Changed]] = []
@@ -77,18 +83,21 @@
         self._aside, self._returns = Aside(), False
 
     def subscribe(self) -> trio.MemoryReceiveChannel[Changed]:
-        """Every event from now on, in order."""
+        """Return a channel that receives all events from now on, in order."""
         made = trio.open_memory_channel[Changed](inf)
         self.subscribers.append(made[0])
         return made[1]
 
     def unsubscribe(self, events: trio.MemoryReceiveChannel[Changed]) -> None:
-        """Tell no more; the channel is closed."""
+        """Close a channel that `subscribe` returned."""
         events.close()
         self.subscribers = [channel for channel in self.subscribers if channel.statistics().open_receive_channels]
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled, which says no goodbye: `leave` does.  An address that is taken is tried again."""
+        """Be a member until cancelled.
+
+        Cancelling sends no leave; `leave` does.  Binding an address that is in use is tried again.
+        """
         task_status.started()
         await self._aside.run(self._take_part)
 
@@ -100,21 +109,21 @@
             nursery.start_soon(self._own)
 
     def step_aside(self, aside: bool) -> None:
-        """The next process of a hot restart takes part in this one's place; or it has gone."""
+        """Suspend membership while the successor of a hot restart has it; False resumes it after its failure."""
         self._returns = self._returns or self._aside.aside and not aside
         self._aside.turn(aside)
 
     def handover_state(self) -> dict[str, Any]:
-        """What the next process of a hot restart goes on with."""
+        """Return what the successor of a hot restart needs to continue this generation."""
         me = self.machine.own_record
         return {"life": me.generation, "incarnation": me.incarnation, "number": self.machine.number}
 
     def on_settings(self, told: Mapping[str, Any]) -> None:
-        """Another file is in force: its fingerprint is told with what is sent next."""
+        """Publish the fingerprint of settings that have come into force."""
         self.machine.on_print(fingerprint(told), trio.current_time())
 
     async def leave(self) -> None:
-        """Say goodbye; at once, and again for those that it may not have reached."""
+        """Leave the fleet; the datagrams are sent several times, as they may be lost."""
         if self._aside.aside or self.machine.leaving:
             return
         actions = self.machine.on_leave(trio.current_time())
@@ -131,22 +140,22 @@
                 await made.bind((host, port))
             except OSError as problem:
                 made.close()
-                log.error("no part in the fleet on %s:%d yet: %s", host, port, problem)
+                log.error("cannot bind fleet address %s:%d, retrying: %s", host, port, problem)
                 await trio.sleep(BOUND_AGAIN)
                 continue
             self.socket = made
-            log.info("fleet %s on %s:%d", self.plan.name, host, port)
+            log.info("fleet %s listens on %s:%d", self.plan.name, host, port)
             return
 
     async def _receive(self) -> None:
-        """Hand on what comes, no more a second than a fleet of this size may send."""
+        """Queue received datagrams, up to the rate that a fleet of this size may send."""
         assert self.socket is not None
         tokens, since, counts = RATE, trio.current_time(), self.machine.counts
         while True:
             try:
-                # One byte more than is allowed, so that what is longer is seen to be.
+                # One byte more than the limit, so that a longer datagram is recognised.
                 data, sender = await self.socket.recvfrom(self.plan.terms.datagram + 1)
-            except OSError:  # an ICMP answer to one of ours
+            except OSError:  # an ICMP error in answer to a datagram that was sent
                 counts["unreachable"] += 1
                 await trio.sleep(0)
                 continue
@@ -167,7 +176,7 @@
                 counts["flood"] += 1
 
     def _hand_to_distribution(self, hand: Callable[[bytes, Address], None], data: bytes, sender: Address) -> None:
-        """Hand a datagram on that comes from one of the fleet's networks and is no longer than it may be."""
+        """Pass a datagram on if its sender is in an allowed network and its size within the limit."""
         if not self.is_allowed(sender[0]):
             self.machine.counts["network"] += 1
         elif len(data) > self.plan.terms.datagram:
@@ -176,7 +185,7 @@
             hand(data, (sender[0], sender[1]))
 
     async def _own(self) -> None:
-        """The one task that owns the machine."""
+        """Run the state machine; this is the only task that passes datagrams and time to it."""
         machine = self.machine
         looked = trio.current_time()
         if self._returns:
@@ -187,7 +196,7 @@
             with trio.move_on_at(max(trio.current_time(), min(machine.due, looked + LOOK))):
                 found = await self._inbox.receive()
             now = trio.current_time()
-            # Time first: whoever was stopped has to know it before it takes in what was said meanwhile.
+            # Timers first: a process that was stopped must detect that before it processes queued datagrams.
             if now >= machine.due:
                 await self._carry_out(machine.on_time(now))
             if now >= looked + LOOK:
@@ -197,11 +206,11 @@
                 await self._carry_out(machine.on_datagram(*found, now))
 
     async def send(self, address: Address, data: bytes) -> None:
-        """Send a datagram; one that cannot be sent is counted."""
+        """Send a datagram; failures are counted and not raised."""
         try:
             if self.socket is not None:
                 await self.socket.sendto(data, address)
-        except OSError:  # its host is down, or no buffer is left: it is told again
+        except OSError:  # host unreachable or no buffer space; the protocol repeats what matters
             self.machine.counts["unsent"] += 1
 
     async def _carry_out(self, actions: list[Action]) -> None:
@@ -214,10 +223,10 @@
                 for channel in self.subscribers:
                     channel.send_nowait(action)
 
-    # -- what operators ask --------------------------------------------------------------------------
+    # -- operators' calls -------------------------------------------------------------------------
 
     async def on_call(self, name: str, argument: str) -> tuple[bool, Any]:
-        """One call of the admin interface: whether it was done, and what there is to say."""
+        """Execute a FLEET call of the admin interface; return whether it succeeded, and the answer or the error."""
         if name.startswith("config-"):
             if self.configuration_call is None:
                 return False, "no [fleet.configuration] in the file"
@@ -242,7 +251,7 @@
         return done, {"forgotten": argument} if done else "no dead member has that name"
 
     def members(self) -> dict[str, Any]:
-        """The view, in the form that other programs read."""
+        """Return the answer to the call `members`: the view and its members."""
         machine, now = self.machine, trio.current_time()
         rows = [(machine.own_record, machine.born)] + [(m.record, m.since) for m in machine.members.values()]
         return {
@@ -258,7 +267,7 @@
         }  # fmt: skip
 
     def status(self) -> dict[str, Any]:
-        """Beside the view: whether it is settled, and how this instance fares."""
+        """Return the answer to the call `status`: the convergence of the view and the state of this instance."""
         machine = self.machine
         return {
             "fleet": machine.fleet, "self": machine.own_record.name, "life": machine.own_record.generation,
@@ -275,7 +284,7 @@
 
 
 def fingerprint(told: Mapping[str, Any]) -> str:
-    """Of a file's tables, whatever their order."""
+    """Return the fingerprint of settings; it does not depend on the order of keys."""
     import xxhash
 
     return xxhash.xxh32_hexdigest(json.dumps(told, sort_keys=True, default=str).encode())
