--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -350,7 +350,7 @@
 
         process.applier._check = check_and_leave  # type: ignore[method-assign]  # noqa: SLF001
         distribution.on_pushed(*version(1, rule("one")))
-        await until(lambda: seen.is_set() and not process.applier._turn.locked())  # noqa: SLF001
+        await until(lambda: seen.is_set() and not process.applier._lock.locked())  # noqa: SLF001
         assert process.store.read() is None and process.rules == []
         # The next process wrote a version and has gone: this one goes on from there, before it reports anything.
         process.applier._check = checked  # type: ignore[method-assign]  # noqa: SLF001
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -16,7 +16,7 @@
 from benchmarks.distribution.net import FLEET, REGISTER, World, zones_of
 from tests.support import GARBAGE, steady
 from thistleshore.distribution import wire
-from thistleshore.distribution.bodies import Bodies, Mismatch, decode, encode
+from thistleshore.distribution.bodies import BodyCache, BodyMismatch, decode, encode
 from thistleshore.distribution.machine import Distributor
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import (
@@ -33,7 +33,7 @@
     digest_of,
     region_of,
 )
-from thistleshore.distribution.transfer import Fetching, Source, Taken
+from thistleshore.distribution.transfer import BodyFetch, Source, PartResult
 from thistleshore.distribution.tree import Tree
 
 SETTINGS = ProtocolSettings()
@@ -108,14 +108,14 @@
     bomb = zstandard.ZstdCompressor().compress(bytes(1 << 24))
     unsized = zstandard.ZstdCompressor(write_content_size=False).compress(body)
     for data in (bomb, unsized, encode(body, None)[:-1], encode(body_of(2), None), b"", b"\x28\xb5\x2f\xfd"):
-        with pytest.raises(Mismatch):
+        with pytest.raises(BodyMismatch):
             decode(data, None, stamp)
-    with pytest.raises(Mismatch):
+    with pytest.raises(BodyMismatch):
         decode(encode(body, b"base" * 50), b"other" * 50, msgspec.structs.replace(stamp, digest=digest_of(b"")))
 
 
 def test_the_body_in_force_is_kept_beside_the_newest() -> None:
-    bodies = Bodies(2)
+    bodies = BodyCache(2)
     for number in range(1, 6):
         bodies.add(stamp_of(number, body_of(number)), body_of(number), in_force=1)
     assert [number for number in range(1, 6) if bodies.get(number)] == [1, 4, 5]
@@ -266,11 +266,11 @@
 
 
 def test_a_source_that_falls_silent_is_asked_ever_more_seldom() -> None:
-    fetching = Fetching(stamp_of(1, b"x" * 5000), NO_VERSION, [Source("a", ("h", 1))], SETTINGS, 1)
+    fetching = BodyFetch(stamp_of(1, b"x" * 5000), NO_VERSION, [Source("a", ("h", 1))], SETTINGS, 1)
     fetching.request(0.0)
-    assert fetching.on_part(wire.Part(1, 0, 5000, 20, 0, b"x" * 250), 0.001) is Taken.MORE
+    assert fetching.on_part(wire.Part(1, 0, 5000, 20, 0, b"x" * 250), 0.001) is PartResult.MORE
     asked = []
-    while fetching.on_late(fetching.due):
+    while fetching.on_timeout(fetching.due):
         asked.append(fetching.due)
         fetching.request_again(fetching.due)
     assert (
--- a/tests/test_rig_configuration.py
+++ b/tests/test_rig_configuration.py
@@ -315,14 +315,14 @@
     pair = [Reports(terms), Reports(terms)]
     for reports in pair:
         reports.on_view(peers)
-    pair[0].take(ReceivedReport(MemberReport("c", 1, 5), 7, 0.0))
+    pair[0].store(ReceivedReport(MemberReport("c", 1, 5), 7, 0.0))
     now = 0.0
     for turn in range(20):
         teller, asker = pair[turn % 2], pair[1 - turn % 2]
-        messages = teller.tell(ReceivedReport(MemberReport("ab"[turn % 2], 1, 5), 7, now), 1000, now)
+        messages = teller.report_batches(ReceivedReport(MemberReport("ab"[turn % 2], 1, 5), 7, now), 1000, now)
         now += 0.3
         for message in messages:
-            asker.take_rows(message, now)
+            asker.store_batch(message, now)
     for reports, me in zip(pair, "ab", strict=True):
         (zone,) = reports.count(5, 7, ReceivedReport(MemberReport(me, 1, 5), 7, now), peers[me], now).zones
         assert "c" in zone.unknown
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -34,7 +34,7 @@
     @property
     def reason(self) -> str:
         """The reason reported to the fleet: the first line of each problem."""
-        return "; ".join(problem.partition("\n")[0] for problem in self.problems)[:MAX_REASON_CHARS]
+        return "; ".join(error.partition("\n")[0] for error in self.problems)[:MAX_REASON_CHARS]
 
 
 class NotDurable(NotApplied):
@@ -68,10 +68,10 @@
         self.activate: ActivatePlan | None = None  # puts a plan, and hosts unless None, in force
         self.on_file_reloaded: Callable[[], None] | None = None  # called after a reloaded file is accepted
         self._file = file  # the reading last put in force
-        self._keeps_shares: bool | None = None  # cannot change without a restart; None during the start
+        self._shares_active: bool | None = None  # cannot change without a restart; None during the start
         self.startup_problems = 0  # versions on disk that could not be used
         self.hosts_from_version = False  # whether the hosts in force come from a version
-        self._turn = trio.Lock()
+        self._lock = trio.Lock()
 
     # -- start
 
@@ -79,27 +79,27 @@
         """Return the initial plan: the version on disk over the own file, or the own file alone if that fails."""
         plan = self._file
         try:
-            held = self._read()
-            if held is not None:
-                checked = self._check(held.body)
-                plan, self.in_force, self.hosts_from_version = checked.plan, held, checked.hosts
-                log.info("configuration: started on version %d from disk", held.stamp.number)
-        except (StoreError, NotApplied) as problem:
+            stored = self._read()
+            if stored is not None:
+                checked = self._check(stored.body)
+                plan, self.in_force, self.hosts_from_version = checked.plan, stored, checked.hosts
+                log.info("configuration: started on version %d from disk", stored.stamp.number)
+        except (StoreError, NotApplied) as error:
             self.startup_problems += 1
-            log.error("configuration: the version on disk is ignored and only the own file is used: %s", problem)
-        self._keeps_shares = plan.agreements is not None
+            log.error("configuration: the version on disk is ignored and only the own file is used: %s", error)
+        self._shares_active = plan.agreements is not None
         return plan
 
     def _read(self) -> StoredVersion | None:
-        found = self.store.read()
-        return None if found is None else StoredVersion(*found)
+        stored = self.store.read()
+        return None if stored is None else StoredVersion(*stored)
 
-    async def held(self) -> StoredVersion | None:
+    async def stored(self) -> StoredVersion | None:
         """Return the version on disk, or None if there is no usable one."""
         try:
             return await trio.to_thread.run_sync(self._read)
-        except StoreError as problem:
-            log.warning("configuration: %s", problem)
+        except StoreError as error:
+            log.warning("configuration: %s", error)
             return None
 
     # -- running
@@ -107,14 +107,14 @@
     async def check(self, body: bytes) -> Checked:
         """Check a body with the own file; raise NotApplied with all its problems."""
         # Compiling a thousand rules takes a third of a second, so a thread does it: streams must not wait.
-        async with self._turn:
+        async with self._lock:
             return await trio.to_thread.run_sync(self._check, body)
 
     async def apply(self, stamp: Stamp, body: bytes) -> None:
         """Put a version in force, or raise NotApplied and leave the previous one in force."""
         if stamp.format > FORMAT:
             raise NotApplied(f"its body has format {stamp.format}, and this program reads {FORMAT}")
-        async with self._turn:
+        async with self._lock:
             checked = await trio.to_thread.run_sync(self._check, body)
             point("configuration-checked")
             await trio.to_thread.run_sync(self._write, stamp, body)
@@ -128,48 +128,48 @@
 
         If they conflict, log it, return None and keep the previous reading.
         """
-        async with self._turn:
-            found = file
+        async with self._lock:
+            combined = file
             if self.in_force is not None:
                 try:
-                    found = (await trio.to_thread.run_sync(self._check, self.in_force.body, file)).plan
-                except NotApplied as problem:
+                    combined = (await trio.to_thread.run_sync(self._check, self.in_force.body, file)).plan
+                except NotApplied as error:
                     number = self.in_force.stamp.number
-                    log.error("configuration not reread, the old one holds: version %d: %s", number, problem)
+                    log.error("configuration not reread, the old one holds: version %d: %s", number, error)
                     return None
             self._file = file
         if self.on_file_reloaded is not None:
             self.on_file_reloaded()
-        return found
+        return combined
 
     def _check(self, body: bytes, file: Plan | None = None) -> Checked:
         file = self._file if file is None else file
         try:
             parsed = document.parse(body)
-            found = document.plan_of(file.told, parsed, file.epoch)
-        except document.DocumentError as problem:
-            raise NotApplied(*problem.problems) from None
+            plan = document.plan_of(file.told, parsed, file.epoch)
+        except document.DocumentError as error:
+            raise NotApplied(*error.problems) from None
         hosts = HOSTS in parsed.tables
-        if problems := self._obstacles(file, found, hosts):
+        if problems := self._find_obstacles(file, plan, hosts):
             raise NotApplied(*problems)
         # `told` and `seed` stay those of the file, as they are compared with later readings of it.
-        return Checked(replace(found, told=file.told, seed=file.seed), hosts)
+        return Checked(replace(plan, told=file.told, seed=file.seed), hosts)
 
-    def _obstacles(self, file: Plan, found: Plan, hosts: bool) -> list[str]:
+    def _find_obstacles(self, file: Plan, plan: Plan, hosts: bool) -> list[str]:
         """Return why this process cannot put a valid plan in force."""
         problems = []
         if hosts and file.http is not None and file.http.discovery is not None:
             problems.append(f"{HOSTS}: this instance has its hosts from [discovery]")
-        if self._keeps_shares is not None and self._keeps_shares != (found.agreements is not None):
-            word = "end" if self._keeps_shares else "begin"
+        if self._shares_active is not None and self._shares_active != (plan.agreements is not None):
+            word = "end" if self._shares_active else "begin"
             problems.append(f"member: a restart is needed to {word} the keeping of shares")
         return problems
 
     def _write(self, stamp: Stamp, body: bytes) -> None:
         try:
             self.store.write(stamp, body)
-        except StoreError as problem:
-            raise NotDurable(str(problem)) from None
+        except StoreError as error:
+            raise NotDurable(str(error)) from None
 
     def _put_in_force(self, checked: Checked) -> None:
         assert self.activate is not None
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -25,12 +25,12 @@
 
 log = logging.getLogger("thistleshore")
 
-WAITING_MOST = 512  # queued datagrams; further ones are dropped and counted
-REST = 0.002  # seconds, the minimum between two timer calls of the machine
-BODY_RETRY = 0.5  # seconds between attempts to fetch a body that no voter returned
-DISK_RETRY = 10.0  # seconds before a version that could not be written to disk is retried
-VIEW_REST = 0.05  # seconds, the minimum between two updates of the view
-SPREAD_LOOK = 0.05  # seconds between two checks of the received reports
+MAX_QUEUED_DATAGRAMS = 512  # queued datagrams; further ones are dropped and counted
+MIN_TIMER_INTERVAL = 0.002  # seconds, the minimum between two timer calls of the machine
+BODY_RETRY_SECONDS = 0.5  # seconds between attempts to fetch a body that no voter returned
+DISK_RETRY_SECONDS = 10.0  # seconds before a version that could not be written to disk is retried
+MIN_VIEW_INTERVAL = 0.05  # seconds, the minimum between two updates of the view
+SPREAD_POLL_SECONDS = 0.05  # seconds between two checks of the received reports
 
 
 # -- events for the task that owns the machine
@@ -61,11 +61,11 @@
     reason: str
 
 
-class SpreadAsked(NamedTuple):
+class SpreadRequested(NamedTuple):
     """An operator requests the spread of a version."""
 
 
-Event = Datagram | ViewChanged | Agreed | Applied | Refused | SpreadAsked
+Event = Datagram | ViewChanged | Agreed | Applied | Refused | SpreadRequested
 
 
 class Distribution:
@@ -73,8 +73,8 @@
 
     def __init__(self, settings: ProtocolSettings, fleet: FleetCarrier, releases: Releases, applier: Applier) -> None:
         self.fleet, self.releases, self.applier = fleet, releases, applier
-        held = applier.in_force
-        self.serving_from = "disk" if held is not None else "file"
+        stored = applier.in_force
+        self.serving_from = "disk" if stored is not None else "file"
         self.machine = Distributor(
             fleet.plan.name,
             peer_of(fleet.machine.own_record),
@@ -82,7 +82,7 @@
             settings,
             trio.current_time(),
             int.from_bytes(os.urandom(8), "big"),
-            None if held is None else (held.stamp, held.body),
+            None if stored is None else (stored.stamp, stored.body),
         )
         self.machine.counts["disk_unusable"] += applier.startup_problems
         self._events, self._inbox = trio.open_memory_channel[Event](inf)
@@ -100,7 +100,7 @@
 
     def on_datagram(self, data: bytes, sender: Address) -> None:
         """Queue a distribution datagram received on the fleet's socket."""
-        if self._events.statistics().current_buffer_used >= WAITING_MOST:
+        if self._events.statistics().current_buffer_used >= MAX_QUEUED_DATAGRAMS:
             self.machine.counts["flood"] += 1
         else:
             self._events.send_nowait(Datagram(data, sender))
@@ -137,47 +137,47 @@
 
     async def spread(self, number: int, within: float) -> Spread:
         """Return how far a version has spread, by the answers of the zone relays within `within` seconds."""
-        self._events.send_nowait(SpreadAsked())
+        self._events.send_nowait(SpreadRequested())
         until = trio.current_time() + within
-        await trio.sleep(min(within, SPREAD_LOOK))
+        await trio.sleep(min(within, SPREAD_POLL_SECONDS))
         while True:
-            found = self.machine.spread(number, trio.current_time())
-            if found.everywhere or trio.current_time() >= until:
-                return found
-            await trio.sleep(SPREAD_LOOK)
+            result = self.machine.spread(number, trio.current_time())
+            if result.everywhere or trio.current_time() >= until:
+                return result
+            await trio.sleep(SPREAD_POLL_SECONDS)
 
     # -- tasks
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled."""
         task_status.started()
-        await self._aside.run(self._take_part)
+        await self._aside.run(self._participate)
 
-    async def _take_part(self) -> None:
-        await self._follow_disk()
+    async def _participate(self) -> None:
+        await self._apply_from_disk()
         if self._unfinished is not None:
             self._applies.send_nowait(self._unfinished)
         if self._newest_agreed is not None:
             self._agreed.send_nowait(self._newest_agreed)
         self._events.send_nowait(ViewChanged())
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._own)
+            nursery.start_soon(self._run_machine)
             nursery.start_soon(self._watch_view)
-            nursery.start_soon(self._learn)
-            nursery.start_soon(self._apply_in_turn)
+            nursery.start_soon(self._fetch_agreed_bodies)
+            nursery.start_soon(self._apply_queued)
 
-    async def _follow_disk(self) -> None:
+    async def _apply_from_disk(self) -> None:
         """Apply the version that a successor of a hot restart left on disk, before any report is sent."""
-        held = await self.applier.held()
-        if held is not None:
-            await self._apply(Apply(held.stamp, held.body))
+        stored = await self.applier.stored()
+        if stored is not None:
+            await self._apply(Apply(stored.stamp, stored.body))
 
-    async def _own(self) -> None:
+    async def _run_machine(self) -> None:
         """Run the only task that calls the machine."""
         machine = self.machine
         while True:
             event = None
-            with trio.move_on_at(max(machine.due, trio.current_time() + REST)):
+            with trio.move_on_at(max(machine.due, trio.current_time() + MIN_TIMER_INTERVAL)):
                 event = await self._inbox.receive()
             now = trio.current_time()
             # Timers first: after a pause, the machine has to detect it before it handles queued datagrams.
@@ -200,7 +200,7 @@
                 return machine.on_applied(stamp, now)
             case Refused(stamp, reason):
                 return machine.on_refused(stamp, reason, now)
-            case SpreadAsked():
+            case SpreadRequested():
                 return machine.request_reports(now)
 
     async def _carry_out(self, actions: Iterable[Action]) -> None:
@@ -220,11 +220,11 @@
                 while changes.statistics().current_buffer_used:
                     changes.receive_nowait()
                 self._events.send_nowait(ViewChanged())
-                await trio.sleep(VIEW_REST)
+                await trio.sleep(MIN_VIEW_INTERVAL)
         finally:
             self.fleet.unsubscribe(changes)
 
-    async def _learn(self) -> None:
+    async def _fetch_agreed_bodies(self) -> None:
         """On a voter, pass each agreed version with its body to the machine; others learn of it from their relays."""
         async for stamp in self._to_learn:
             if self.releases.voter is None:
@@ -239,16 +239,16 @@
             body = await self.releases.fetch_body(stamp.digest)
             if body is not None and digest_of(body) == stamp.digest:
                 return body
-            await trio.sleep(BODY_RETRY)
+            await trio.sleep(BODY_RETRY_SECONDS)
         return None
 
     # -- applying
 
-    async def _apply_in_turn(self) -> None:
-        """Apply queued versions one at a time; retry one that could not be written after DISK_RETRY."""
+    async def _apply_queued(self) -> None:
+        """Apply queued versions one at a time; retry one that could not be written after DISK_RETRY_SECONDS."""
         while True:
             action = None
-            with trio.move_on_after(DISK_RETRY):
+            with trio.move_on_after(DISK_RETRY_SECONDS):
                 action = await self._to_apply.receive()
             if action is None and self._disk_failed:
                 action = self._last_refused
--- a/thistleshore/distribution/offers.py
+++ b/thistleshore/distribution/offers.py
@@ -13,51 +13,51 @@
 
     def __init__(self, settings: ProtocolSettings) -> None:
         self._settings = settings
-        self._waiting: dict[str, Peer] = {}
-        self._repeated = 0
+        self._unacknowledged: dict[str, Peer] = {}
+        self._retries = 0
         self.stamp: Stamp = NO_VERSION
         self.due: float = inf
 
     def start(self, stamp: Stamp, children: Iterable[Peer], now: float) -> list[Peer]:
         """Offer a version in place of any earlier one; return the peers to send it to now."""
         self.stamp = stamp
-        self._waiting = {peer.name: peer for peer in children}
+        self._unacknowledged = {peer.name: peer for peer in children}
         return self._restart(now)
 
     def extend(self, children: Iterable[Peer], now: float) -> list[Peer]:
         """Offer the same version to new children as well; return the peers to send it to now."""
         new = list(children)
         if new:
-            self._waiting.update((peer.name, peer) for peer in new)
+            self._unacknowledged.update((peer.name, peer) for peer in new)
             self._restart(now)
         return new
 
-    def keep_only(self, children: Iterable[Peer]) -> None:
+    def retain_children(self, children: Iterable[Peer]) -> None:
         """Drop peers that are no longer children, and update the addresses of the others."""
-        self._waiting = {peer.name: peer for peer in children if peer.name in self._waiting}
-        if not self._waiting:
+        self._unacknowledged = {peer.name: peer for peer in children if peer.name in self._unacknowledged}
+        if not self._unacknowledged:
             self.due = inf
 
     def on_acknowledge(self, name: str, number: int) -> None:
         """Handle a child's acknowledgement."""
         if number == self.stamp.number:
-            self._waiting.pop(name, None)
-            if not self._waiting:
+            self._unacknowledged.pop(name, None)
+            if not self._unacknowledged:
                 self.due = inf
 
     def on_time(self, now: float) -> list[Peer]:
         """Return the peers to resend the offer to; the delay doubles with each retry."""
         if now < self.due:
             return []
-        if self._repeated >= self._settings.retries:
-            self._waiting.clear()
+        if self._retries >= self._settings.retries:
+            self._unacknowledged.clear()
             self.due = inf
             return []
-        self._repeated += 1
-        self.due = now + self._settings.answer_timeout * 2**self._repeated
-        return list(self._waiting.values())
+        self._retries += 1
+        self.due = now + self._settings.answer_timeout * 2**self._retries
+        return list(self._unacknowledged.values())
 
     def _restart(self, now: float) -> list[Peer]:
-        self._repeated = 0
-        self.due = now + self._settings.answer_timeout if self._waiting else inf
-        return list(self._waiting.values())
+        self._retries = 0
+        self.due = now + self._settings.answer_timeout if self._unacknowledged else inf
+        return list(self._unacknowledged.values())
--- a/thistleshore/distribution/reports.py
+++ b/thistleshore/distribution/reports.py
@@ -16,9 +16,9 @@
 import xxhash
 
 from thistleshore.distribution.model import Peer, MemberReport, Spread, ProtocolSettings, Zone
-from thistleshore.distribution.wire import AGE_MOST, ROWS_MOST, AgedReport, ReportBatch, row_size
+from thistleshore.distribution.wire import MAX_AGE_MS, MAX_ROWS, AgedReport, ReportBatch, row_size
 
-SHORT = struct.Struct("!QH")  # the token of a member, and the age of its report in ms
+COMPACT_REPORT = struct.Struct("!QH")  # the token of a member, and the age of its report in ms
 
 
 class ReceivedReport(NamedTuple):
@@ -40,59 +40,61 @@
     def __init__(self, settings: ProtocolSettings) -> None:
         self._settings = settings
         self._peers: Mapping[str, Peer] = {}
-        self._heard: dict[str, ReceivedReport] = {}  # received from the members themselves
+        self._direct: dict[str, ReceivedReport] = {}  # received from the members themselves
         # Received from other instances, and not forwarded: each hop would subtract the transit time from a report's
         # age, so reports passed around among several instances would never expire.
-        self._told: dict[str, ReceivedReport] = {}
+        self._forwarded: dict[str, ReceivedReport] = {}
         self._by_token: dict[int, Peer] | None = None  # built on first use
 
     def on_view(self, peers: Mapping[str, Peer]) -> None:
         """Handle a membership change: drop the reports of members no longer in the view."""
         self._peers = peers
-        self._heard = {name: heard for name, heard in self._heard.items() if name in peers}
-        self._told = {name: heard for name, heard in self._told.items() if name in peers}
+        self._direct = {name: report for name, report in self._direct.items() if name in peers}
+        self._forwarded = {name: report for name, report in self._forwarded.items() if name in peers}
         self._by_token = None
 
-    def take(self, heard: ReceivedReport) -> bool:
+    def store(self, report: ReceivedReport) -> bool:
         """Store a member's own report; return False if the member is unknown or a later report is stored."""
-        return self._keep(heard, self._heard)
+        return self._store(report, self._direct)
 
-    def _keep(self, heard: ReceivedReport, reports: dict[str, ReceivedReport]) -> bool:
-        name = heard.row.name
-        if name not in self._peers or ((kept := reports.get(name)) is not None and not _supersedes(heard, kept)):
+    def _store(self, report: ReceivedReport, reports: dict[str, ReceivedReport]) -> bool:
+        name = report.row.name
+        if name not in self._peers or ((stored := reports.get(name)) is not None and not _is_later(report, stored)):
             return False
-        reports[name] = heard
+        reports[name] = report
         return True
 
-    def take_rows(self, message: ReportBatch, now: float) -> int:
+    def store_batch(self, message: ReportBatch, now: float) -> int:
         """Store reports forwarded by another instance; return how many were not usable."""
-        useless = len(message.members) % SHORT.size
+        useless = len(message.members) % COMPACT_REPORT.size
         whole = len(message.members) - useless
-        for token, age in SHORT.iter_unpack(message.members[:whole]):
+        for token, age in COMPACT_REPORT.iter_unpack(message.members[:whole]):
             peer = self._tokens().get(token)
             if peer is None:
                 useless += 1
                 continue
             row = MemberReport(peer.name, peer.generation, message.applied)
-            useless += not self._keep(ReceivedReport(row, message.register, now - age / 1000), self._told)
+            useless += not self._store(ReceivedReport(row, message.register, now - age / 1000), self._forwarded)
         for aged in message.rows:
-            useless += not self._keep(ReceivedReport(aged.row, aged.register, now - aged.age / 1000), self._told)
+            useless += not self._store(ReceivedReport(aged.row, aged.register, now - aged.age / 1000), self._forwarded)
         return useless
 
-    def tell(self, own: ReceivedReport, room: int, now: float) -> list[ReportBatch]:
+    def report_batches(self, own: ReceivedReport, room: int, now: float) -> list[ReportBatch]:
         """Return all fresh reports received from the members themselves, in payloads of at most `room` bytes."""
-        fresh = [own, *(heard for heard in self._heard.values() if self._is_fresh(heard, now))]
-        plain = Counter((heard.register, heard.row.applied) for heard in fresh if not heard.row.refused)
+        fresh = [own, *(report for report in self._direct.values() if self._is_fresh(report, now))]
+        plain = Counter((report.register, report.row.applied) for report in fresh if not report.row.refused)
         common = plain.most_common(1)[0][0] if plain else None
         short, whole = [], []
-        for heard in fresh:
-            if (heard.register, heard.row.applied) == common and not heard.row.refused:
-                short.append(SHORT.pack(token_of(heard.row.name, heard.row.generation), _age(heard, now)))
+        for report in fresh:
+            if (report.register, report.row.applied) == common and not report.row.refused:
+                short.append(COMPACT_REPORT.pack(token_of(report.row.name, report.row.generation), _age(report, now)))
             else:
-                whole.append(AgedReport(heard.row, heard.register, _age(heard, now)))
+                whole.append(AgedReport(report.row, report.register, _age(report, now)))
         register, applied = common or (0, 0)
-        messages = [ReportBatch(register, applied, members, ()) for members in _chunks(short, room // SHORT.size)]
-        messages += [ReportBatch(0, 0, b"", rows) for rows in _filled(whole, room)]
+        messages = [
+            ReportBatch(register, applied, members, ()) for members in _chunks(short, room // COMPACT_REPORT.size)
+        ]
+        messages += [ReportBatch(0, 0, b"", rows) for rows in _datagram_groups(whole, room)]
         return messages
 
     def count(self, number: int, register: int, own: ReceivedReport, local_peer: Peer, now: float) -> Spread:
@@ -112,7 +114,7 @@
     def _row_of(self, peer: Peer, register: int, own: ReceivedReport, now: float) -> MemberReport | None:
         """Return the current report of a member, or None if it has no fresh one."""
         if peer.name == own.row.name:
-            heard = own
+            report = own
         else:
             found = self._latest(peer.name)
             if (
@@ -122,21 +124,21 @@
                 or not self._is_fresh(found, now)
             ):
                 return None
-            heard = found
-        if heard.row.applied and heard.register != register:
-            reason = heard.row.reason or f"version {heard.row.applied} of register {heard.register} is in force"
-            return msgspec.structs.replace(heard.row, applied=0, reason=reason)
-        return heard.row
+            report = found
+        if report.row.applied and report.register != register:
+            reason = report.row.reason or f"version {report.row.applied} of register {report.register} is in force"
+            return msgspec.structs.replace(report.row, applied=0, reason=reason)
+        return report.row
 
     def _latest(self, name: str) -> ReceivedReport | None:
         """Return a member's latest report, received directly or forwarded."""
-        heard, told = self._heard.get(name), self._told.get(name)
-        if heard is None or told is None:
-            return heard or told
-        return told if _supersedes(told, heard) else heard
+        report, forwarded = self._direct.get(name), self._forwarded.get(name)
+        if report is None or forwarded is None:
+            return report or forwarded
+        return forwarded if _is_later(forwarded, report) else report
 
-    def _is_fresh(self, heard: ReceivedReport, now: float) -> bool:
-        return now - heard.received_at <= self._settings.report_lifetime
+    def _is_fresh(self, report: ReceivedReport, now: float) -> bool:
+        return now - report.received_at <= self._settings.report_lifetime
 
     def _tokens(self) -> dict[int, Peer]:
         if self._by_token is None:
@@ -144,15 +146,15 @@
         return self._by_token
 
 
-def _supersedes(heard: ReceivedReport, kept: ReceivedReport) -> bool:
+def _is_later(report: ReceivedReport, stored: ReceivedReport) -> bool:
     """Return whether a report is at least as recent as another of the same member."""
-    if heard.row.generation != kept.row.generation:
-        return heard.row.generation > kept.row.generation
-    return heard.row.applied >= kept.row.applied and heard.received_at >= kept.received_at
+    if report.row.generation != stored.row.generation:
+        return report.row.generation > stored.row.generation
+    return report.row.applied >= stored.row.applied and report.received_at >= stored.received_at
 
 
-def _age(heard: ReceivedReport, now: float) -> int:
-    return min(AGE_MOST, max(0, round((now - heard.received_at) * 1000)))
+def _age(report: ReceivedReport, now: float) -> int:
+    return min(MAX_AGE_MS, max(0, round((now - report.received_at) * 1000)))
 
 
 def _chunks(pieces: Iterable[bytes], most: int) -> Iterator[bytes]:
@@ -161,13 +163,13 @@
         yield b"".join(chunk)
 
 
-def _filled(rows: Iterable[AgedReport], room: int) -> Iterator[tuple[AgedReport, ...]]:
+def _datagram_groups(rows: Iterable[AgedReport], room: int) -> Iterator[tuple[AgedReport, ...]]:
     """Yield the rows in groups that each fit into a datagram."""
     group: list[AgedReport] = []
     used = 0
     for row in rows:
         size = row_size(row)
-        if group and (used + size > room or len(group) == ROWS_MOST):
+        if group and (used + size > room or len(group) == MAX_ROWS):
             yield tuple(group)
             group, used = [], 0
         group.append(row)
--- a/thistleshore/distribution/transfer.py
+++ b/thistleshore/distribution/transfer.py
@@ -12,17 +12,17 @@
 from typing import NamedTuple
 
 from thistleshore.distribution import wire
-from thistleshore.distribution.bodies import Bodies, Encoding, encoded_most
+from thistleshore.distribution.bodies import BodyCache, Encoding, max_encoded_size
 from thistleshore.addresses import Address
 from thistleshore.distribution.model import NO_VERSION, Stamp, ProtocolSettings
 
-SILENT_ANSWERS = 2.0  # multiples of `answer_timeout` without data after which the next source is tried
-PATIENCE_TRIPS = 2.5  # multiples of the round-trip time after which parts are requested again
-PATIENCE_LEAST = 0.02  # seconds
-TRIP_KEPT = 0.8  # factor by which the round-trip estimate decays when a shorter one is measured
+SOURCE_TIMEOUT_ANSWERS = 2.0  # multiples of `answer_timeout` without data after which the next source is tried
+RETRANSMIT_ROUND_TRIPS = 2.5  # multiples of the round-trip time after which parts are requested again
+MIN_RETRANSMIT_TIMEOUT = 0.02  # seconds
+ROUND_TRIP_DECAY = 0.8  # factor by which the round-trip estimate decays when a shorter one is measured
 PART_SECONDS = 0.005  # seconds that sending a part takes; used to pace concurrent transfers
-SLOT_ANSWERS = 2.0  # multiples of `answer_timeout` after which an idle transfer is over
-BUSY_PARTS = 16.0  # longest suggested wait for each running transfer, in parts' sending time
+SLOT_TIMEOUT_ANSWERS = 2.0  # multiples of `answer_timeout` after which an idle transfer is over
+MAX_BUSY_PARTS = 16.0  # longest suggested wait for each running transfer, in parts' sending time
 
 
 class Source(NamedTuple):
@@ -32,17 +32,17 @@
     address: Address
 
 
-class Taken(Enum):
+class PartResult(Enum):
     """The effect of a received part on a fetch."""
 
-    STRAY = "it was not requested, or is a duplicate"
+    UNEXPECTED = "it was not requested, or is a duplicate"
     MORE = "others are still missing"
     WINDOW = "the window has room for further requests"
     COMPLETE = "all parts have arrived"
-    UNSOUND = "it is inconsistent with this body"
+    INVALID = "it is inconsistent with this body"
 
 
-class Fetching:
+class BodyFetch:
     """The fetch of one version's body."""
 
     def __init__(
@@ -61,11 +61,11 @@
         self._encoding: tuple[int, int, int] | None = None  # base, size, count of parts
         self._parts: dict[int, bytes] = {}
         self._received = 0  # bytes
-        self._window: set[int] = set()  # outstanding parts
-        self._next = 0  # the first part not yet requested
-        self._timed: tuple[int, float] | None = None  # a part requested only once, and when
-        self._trip = 0.0  # seconds; estimated round-trip time; 0: not measured
-        self._patience = self._settings.answer_timeout  # seconds until outstanding parts are requested again
+        self._outstanding: set[int] = set()  # outstanding parts
+        self._next_part = 0  # the first part not yet requested
+        self._timed_request: tuple[int, float] | None = None  # a part requested only once, and when
+        self._round_trip = 0.0  # seconds; estimated round-trip time; 0: not measured
+        self._retransmit_timeout = self._settings.answer_timeout  # seconds until outstanding parts are requested again
         self._give_up_at = 0.0
 
     @property
@@ -74,7 +74,7 @@
         return self._sources[0] if self._sources else None
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether any part has arrived."""
         return bool(self._parts)
 
@@ -102,73 +102,78 @@
 
     def request(self, now: float) -> wire.Fetch:
         """Return the request for the next parts, as far as the window has room."""
-        if self._next == 0:
-            self._give_up_at = now + SILENT_ANSWERS * self._settings.answer_timeout
+        if self._next_part == 0:
+            self._give_up_at = now + SOURCE_TIMEOUT_ANSWERS * self._settings.answer_timeout
         count = self._encoding[2] if self._encoding else self._settings.window
-        first, self._next = self._next, min(count, self._next + self._settings.window - len(self._window))
-        new = range(first, self._next)
-        self._window.update(new)
-        if self._timed is None and new:
-            self._timed = (first, now)
+        first, self._next_part = (
+            self._next_part,
+            min(count, self._next_part + self._settings.window - len(self._outstanding)),
+        )
+        new = range(first, self._next_part)
+        self._outstanding.update(new)
+        if self._timed_request is None and new:
+            self._timed_request = (first, now)
         return self._fetch(new, now)
 
     def request_again(self, now: float) -> wire.Fetch:
         """Return a request that repeats all outstanding parts."""
-        self._timed = None  # an answer could belong to either request
-        return self._fetch(sorted(self._window), now)
+        self._timed_request = None  # an answer could belong to either request
+        return self._fetch(sorted(self._outstanding), now)
 
-    def on_late(self, now: float) -> bool:
+    def on_timeout(self, now: float) -> bool:
         """Handle a timeout; return whether to ask the same source again."""
-        self._patience = min(2 * self._patience, self._settings.answer_timeout)
+        self._retransmit_timeout = min(2 * self._retransmit_timeout, self._settings.answer_timeout)
         return now < self._give_up_at
 
     def on_busy(self, until: float) -> None:
         """Handle a `Busy`: retry the same source at `until`."""
-        self._give_up_at = until + SILENT_ANSWERS * self._settings.answer_timeout
+        self._give_up_at = until + SOURCE_TIMEOUT_ANSWERS * self._settings.answer_timeout
         self.due = until
 
-    def on_part(self, part: wire.Part, now: float) -> Taken:
+    def on_part(self, part: wire.Part, now: float) -> PartResult:
         """Handle a part, and return its effect."""
         if part.transfer != self.transfer or part.index in self._parts:
-            return Taken.STRAY
+            return PartResult.UNEXPECTED
         encoding = (part.base, part.size, part.count)
         if self._encoding is None:
-            if part.base not in (0, self.base.number) or not part.count <= part.size <= encoded_most(self.stamp):
-                return Taken.UNSOUND
+            if part.base not in (0, self.base.number) or not part.count <= part.size <= max_encoded_size(self.stamp):
+                return PartResult.INVALID
             self._encoding = encoding
-            self._window = {index for index in self._window if index < part.count}
+            self._outstanding = {index for index in self._outstanding if index < part.count}
         if encoding != self._encoding or part.index >= part.count or self._received + len(part.data) > part.size:
-            return Taken.UNSOUND
+            return PartResult.INVALID
         self._parts[part.index] = part.data
         self._received += len(part.data)
-        self._window.discard(part.index)
+        self._outstanding.discard(part.index)
         self._on_sign_of_life(part.index, now)
         if len(self._parts) == part.count:
-            return Taken.COMPLETE if self._received == part.size else Taken.UNSOUND
-        room = len(self._window) <= self._settings.window // 2 and self._next < part.count
-        return Taken.WINDOW if room else Taken.MORE
+            return PartResult.COMPLETE if self._received == part.size else PartResult.INVALID
+        room = len(self._outstanding) <= self._settings.window // 2 and self._next_part < part.count
+        return PartResult.WINDOW if room else PartResult.MORE
 
     def _on_sign_of_life(self, index: int, now: float) -> None:
-        if self._timed is not None and self._timed[0] == index:
-            self._trip = max(now - self._timed[1], TRIP_KEPT * self._trip)
-            self._timed = None
-        if self._trip:
-            self._patience = min(max(PATIENCE_LEAST, PATIENCE_TRIPS * self._trip), self._settings.answer_timeout)
-        self._give_up_at = now + SILENT_ANSWERS * self._settings.answer_timeout
-        self.due = now + self._patience
+        if self._timed_request is not None and self._timed_request[0] == index:
+            self._round_trip = max(now - self._timed_request[1], ROUND_TRIP_DECAY * self._round_trip)
+            self._timed_request = None
+        if self._round_trip:
+            self._retransmit_timeout = min(
+                max(MIN_RETRANSMIT_TIMEOUT, RETRANSMIT_ROUND_TRIPS * self._round_trip), self._settings.answer_timeout
+            )
+        self._give_up_at = now + SOURCE_TIMEOUT_ANSWERS * self._settings.answer_timeout
+        self.due = now + self._retransmit_timeout
 
     def _fetch(self, parts: Iterable[int], now: float) -> wire.Fetch:
-        self.due = min(now + self._patience, self._give_up_at)
+        self.due = min(now + self._retransmit_timeout, self._give_up_at)
         stamp, base = self.stamp, self.base
         return wire.Fetch(self.transfer, stamp.number, stamp.digest, base.number, base.digest, tuple(parts))
 
 
-class Serving:
+class TransferServer:
     """The transfers from this instance to others."""
 
-    def __init__(self, bodies: Bodies, settings: ProtocolSettings, room: int) -> None:
-        """`room` is the maximum size of a part, in bytes."""
-        self._bodies, self._settings, self._room = bodies, settings, room
+    def __init__(self, bodies: BodyCache, settings: ProtocolSettings, payload_capacity: int) -> None:
+        """`payload_capacity` is the maximum size of a part, in bytes."""
+        self._bodies, self._settings, self._payload_capacity = bodies, settings, payload_capacity
         self._until: dict[str, float] = {}  # end of each transfer's slot, by the name of the fetching instance
 
     def answer(self, request: wire.Fetch, sender: str, chance: float, now: float) -> list[wire.Message]:
@@ -180,7 +185,7 @@
             return [wire.BodyUnavailable(request.transfer)]
         base = request.base if self._bodies.has(request.base, request.base_digest) else 0
         encoding = self._bodies.encoding(request.number, base)
-        count = max(1, -(-len(encoding.data) // self._room))
+        count = max(1, -(-len(encoding.data) // self._payload_capacity))
         indices = [index for index in request.parts[: self._settings.window] if index < count]
         if count > 1 and not self._take_slot(sender, indices, count, now):
             return [wire.Busy(request.transfer, self._wait(chance))]
@@ -192,15 +197,15 @@
             if len(self._until) >= self._settings.max_transfers:
                 return False
         last = count - 1 in indices
-        seconds = PART_SECONDS * len(indices) if last else SLOT_ANSWERS * self._settings.answer_timeout
+        seconds = PART_SECONDS * len(indices) if last else SLOT_TIMEOUT_ANSWERS * self._settings.answer_timeout
         self._until[sender] = now + seconds
         return True
 
     def _wait(self, chance: float) -> int:
         """Return the time after which to retry, in ms."""
-        most = PART_SECONDS * BUSY_PARTS * len(self._until)
-        return min(wire.AGE_MOST, round(1000 * most * (0.25 + 0.75 * chance)))
+        most = PART_SECONDS * MAX_BUSY_PARTS * len(self._until)
+        return min(wire.MAX_AGE_MS, round(1000 * most * (0.25 + 0.75 * chance)))
 
     def _part(self, transfer: int, encoding: Encoding, count: int, index: int) -> wire.Part:
-        data = encoding.data[index * self._room : (index + 1) * self._room]
+        data = encoding.data[index * self._payload_capacity : (index + 1) * self._payload_capacity]
         return wire.Part(transfer, encoding.base, len(encoding.data), count, index, data)
--- a/thistleshore/distribution/tree.py
+++ b/thistleshore/distribution/tree.py
@@ -14,16 +14,16 @@
 
 from thistleshore.distribution.model import RELAYS, Peer, region_of
 
-WEIGHTS_KEPT = 8192
+MAX_CACHED_WEIGHTS = 8192
 
 
-@lru_cache(maxsize=WEIGHTS_KEPT)
+@lru_cache(maxsize=MAX_CACHED_WEIGHTS)
 def weight(scope: str, name: str) -> int:
     """Return the rendezvous weight of a member in a zone or region."""
     return xxhash.xxh3_64_intdigest(f"{scope}\0{name}".encode())
 
 
-def heaviest(scope: str, peers: Iterable[Peer]) -> tuple[Peer, ...]:
+def select_relays(scope: str, peers: Iterable[Peer]) -> tuple[Peer, ...]:
     """Return the relays among these peers, the highest weight first."""
     return tuple(heapq.nlargest(RELAYS, peers, key=lambda peer: (weight(scope, peer.name), peer.name)))
 
@@ -46,12 +46,12 @@
     @property
     def own_zone_relays(self) -> tuple[Peer, ...]:
         """The relays of this member's zone, except itself."""
-        return self._without_me(self.zone_relays[self.local_peer.zone])
+        return self._except_self(self.zone_relays[self.local_peer.zone])
 
     def _parents(self) -> tuple[tuple[Peer, ...], ...]:
         levels = [self._voters]
         if not self.is_voter and not self.is_region_relay:
-            levels.insert(0, self._without_me(self.region_relays[self.local_peer.region]))
+            levels.insert(0, self._except_self(self.region_relays[self.local_peer.region]))
             if not self.is_zone_relay:
                 levels.insert(0, self.own_zone_relays)
         return tuple(level for level in levels if level)
@@ -67,9 +67,9 @@
                     found.update((peer.name, peer) for peer in relays)
         if self.is_zone_relay:
             found.update((peer.name, peer) for peer in living if peer.zone == self.local_peer.zone)
-        return self._without_me(found.values())
+        return self._except_self(found.values())
 
-    def _without_me(self, peers: Iterable[Peer]) -> tuple[Peer, ...]:
+    def _except_self(self, peers: Iterable[Peer]) -> tuple[Peer, ...]:
         return tuple(peer for peer in peers if peer.name != self.local_peer.name)
 
 
@@ -77,14 +77,14 @@
     by_zone: dict[str, list[Peer]] = {}
     for peer in living:
         by_zone.setdefault(peer.zone, []).append(peer)
-    return {zone: heaviest(f"zone {zone}", peers) for zone, peers in by_zone.items()}
+    return {zone: select_relays(f"zone {zone}", peers) for zone, peers in by_zone.items()}
 
 
 def _region_relays(zone_relays: Mapping[str, tuple[Peer, ...]]) -> dict[str, tuple[Peer, ...]]:
     by_region: dict[str, list[Peer]] = {}
     for zone, relays in zone_relays.items():
         by_region.setdefault(region_of(zone), []).extend(relays)
-    return {region: heaviest(f"region {region}", peers) for region, peers in by_region.items()}
+    return {region: select_relays(f"region {region}", peers) for region, peers in by_region.items()}
 
 
 def _reachable_voters(voters: frozenset[str], local_peer: Peer, others: Mapping[str, Peer]) -> tuple[Peer, ...]:
--- a/thistleshore/distribution/wire.py
+++ b/thistleshore/distribution/wire.py
@@ -16,20 +16,20 @@
 
 MAGIC = b"tC"
 VERSION = 1
-HEAD = struct.Struct("!2sBI")  # magic, version, checksum
-NAME_MOST = 64  # characters of a name
+HEADER = struct.Struct("!2sBI")  # magic, version, checksum
+MAX_NAME_CHARS = 64  # characters of a name
 NUMBER_BITS = 63
-PARTS_MOST = 4096  # parts of one body
-WINDOW_MOST = 64  # parts in one request
-ROWS_MOST = 256  # whole rows in one datagram
-AGE_MOST = 65535  # ms
-ENVELOPE_ROOM = 64  # bytes reserved for all numbers of an envelope and message, and the array headers
+MAX_PARTS = 4096  # parts of one body
+MAX_WINDOW_PARTS = 64  # parts in one request
+MAX_ROWS = 256  # whole rows in one datagram
+MAX_AGE_MS = 65535  # ms
+ENVELOPE_BYTES = 64  # bytes reserved for all numbers of an envelope and message, and the array headers
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << NUMBER_BITS) - 1)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_MOST)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 Digest = Annotated[str, msgspec.Meta(max_length=2 * DIGEST_BYTES)]
-Index = Annotated[int, msgspec.Meta(ge=0, lt=PARTS_MOST)]
-Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=AGE_MOST)]
+Index = Annotated[int, msgspec.Meta(ge=0, lt=MAX_PARTS)]
+Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=MAX_AGE_MS)]
 
 
 class InvalidDatagram(Exception):
@@ -74,7 +74,7 @@
     digest: Digest
     base: Number  # the version that the sender has as a base for a delta; 0: none
     base_digest: Digest
-    parts: Annotated[tuple[Index, ...], msgspec.Meta(max_length=WINDOW_MOST)]
+    parts: Annotated[tuple[Index, ...], msgspec.Meta(max_length=MAX_WINDOW_PARTS)]
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True, tag=5):
@@ -83,7 +83,7 @@
     transfer: Number
     base: Number  # the version that it is a delta to; 0: whole
     size: Number  # bytes of all parts together
-    count: Annotated[int, msgspec.Meta(ge=1, le=PARTS_MOST)]
+    count: Annotated[int, msgspec.Meta(ge=1, le=MAX_PARTS)]
     index: Index
     data: Annotated[bytes, msgspec.Meta(min_length=1)]
 
@@ -119,7 +119,7 @@
     register: Number  # register of `applied`
     applied: Number  # version in force at all of `members`
     members: bytes  # the token of each and the age of its report, see `reports.py`
-    rows: Annotated[tuple[AgedReport, ...], msgspec.Meta(max_length=ROWS_MOST)]
+    rows: Annotated[tuple[AgedReport, ...], msgspec.Meta(max_length=MAX_ROWS)]
 
 
 Message = Report | Answer | Offer | Acknowledge | Fetch | Part | Busy | BodyUnavailable | ReportsRequest | ReportBatch
@@ -141,7 +141,7 @@
 def write(fleet: str, sender: str, generation: int, message: Message) -> bytes:
     """Encode a message as a datagram."""
     body = _encoder.encode(Envelope(fleet, sender, generation, message))
-    return HEAD.pack(MAGIC, VERSION, crc32(body)) + body
+    return HEADER.pack(MAGIC, VERSION, crc32(body)) + body
 
 
 def read(data: bytes, fleet: str, most: int) -> Envelope:
@@ -149,14 +149,14 @@
 
     Cheap checks come first, as the sender is not authenticated.
     """
-    if not HEAD.size < len(data) <= most:
+    if not HEADER.size < len(data) <= most:
         raise InvalidDatagram("size")
-    magic, version, checksum = HEAD.unpack_from(data)
+    magic, version, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise InvalidDatagram("garbage")
     if version != VERSION:
         raise InvalidDatagram("version")
-    body = memoryview(data)[HEAD.size :]
+    body = memoryview(data)[HEADER.size :]
     if crc32(body) != checksum:
         raise InvalidDatagram("garbage")
     try:
@@ -165,14 +165,14 @@
         raise InvalidDatagram("garbage") from None
     if envelope.fleet != fleet:
         raise InvalidDatagram("fleet")
-    if not _sound(envelope.message):
+    if not _is_valid(envelope.message):
         raise InvalidDatagram("garbage")
     return envelope
 
 
-def room(fleet: str, sender: str, most: int) -> int:
+def payload_capacity(fleet: str, sender: str, most: int) -> int:
     """Return the payload bytes besides a message's numbers in a datagram of at most `most` bytes."""
-    return most - HEAD.size - ENVELOPE_ROOM - len(fleet.encode()) - len(sender.encode())
+    return most - HEADER.size - ENVELOPE_BYTES - len(fleet.encode()) - len(sender.encode())
 
 
 def row_size(row: AgedReport) -> int:
@@ -180,18 +180,18 @@
     return len(_encoder.encode(row))
 
 
-def _sound(message: Message) -> bool:
+def _is_valid(message: Message) -> bool:
     """Return whether the fields of types declared in other modules are within their bounds."""
     if isinstance(message, Report | Answer):
-        return _sound_stamp(message.held)
+        return _is_valid_stamp(message.held)
     if isinstance(message, Offer):
-        return message.stamp.number > 0 and _sound_stamp(message.stamp)
+        return message.stamp.number > 0 and _is_valid_stamp(message.stamp)
     if isinstance(message, ReportBatch):
-        return _sound_rows(message.rows)
+        return _are_valid_rows(message.rows)
     return True
 
 
-def _sound_stamp(stamp: Stamp) -> bool:
+def _is_valid_stamp(stamp: Stamp) -> bool:
     if stamp.number == 0:
         return stamp == NO_VERSION
     numbers = (stamp.register, stamp.number, stamp.format)
@@ -203,9 +203,9 @@
     )
 
 
-def _sound_rows(rows: Sequence[AgedReport]) -> bool:
+def _are_valid_rows(rows: Sequence[AgedReport]) -> bool:
     return all(
-        0 < len(row.name) <= NAME_MOST
+        0 < len(row.name) <= MAX_NAME_CHARS
         and len(row.reason) <= MAX_REASON_CHARS
         and all(0 <= number < 1 << NUMBER_BITS for number in (row.generation, row.applied, row.refused))
         for row in (aged.row for aged in rows)
