--- a/thistleshore/configuration/agreement.py
+++ b/thistleshore/configuration/agreement.py
@@ -1,8 +1,8 @@
-"""Versions of the configuration as pure changes of the register's value: push, rollback, and the stamp in force.
+"""Pure functions that change the register's value: push and rollback of configuration versions, and the current stamp.
 
-Before a change is proposed, its body has to be on the disks of a majority of the voters, see `Releases.deposit`.  That
-holds for a rollback as well: voters that were taken in since may lack its body.  A voter refuses a value whose current
-body it does not hold, so a change without its body comes to nothing.
+Before a change is proposed, its body must be on the disks of a majority of the voters, see `Releases.deposit`.  That
+applies to a rollback as well, as voters added since may lack its body.  A voter refuses a value whose current body it
+does not have, so a change without its body cannot be agreed on.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 )
 from thistleshore.releases.places import with_change
 
-ACT = "configured"  # in the register's own history, with the version's number as the name
-AGAINST, UNKNOWN, IN_FORCE = "against", "version", "in-force"  # what a refusal names as its limit
+ACT = "configured"  # name of the act in the register's history; the version number is its subject
+AGAINST, UNKNOWN, IN_FORCE = "against", "version", "in-force"  # limits that a refusal names
 
 
 def push(
     value: Value, against: int | None, digest: str, size: int, by: str, reason: str, when: float
 ) -> Value | Refusal:
-    """A new version with that body, made against the version `against` (None: against whichever is in force).
+    """Return the value with a new version, or a Refusal if `against` (unless None) is not the version in force.
 
-    A body that is in force already leaves the value as it is, so a push whose answer was lost may be repeated.  So does
-    a push that has been made, whatever came after it: see `find_existing_change`.
+    If the body is already in force, the value is unchanged, so a push whose answer was lost can be repeated.  The same
+    holds for a push that was already agreed on, whatever followed it: see `find_existing_change`.
     """
     current = value.configuration.current
     if current is not None and current.digest == digest or find_existing_change(value, digest, by, when) is not None:
@@ -41,9 +41,9 @@
 
 
 def rollback(value: Value, number: int, against: int | None, by: str, reason: str, when: float) -> Value | Refusal:
-    """A new version with the body of the earlier version `number`.
+    """Return the value with a new version that has the body of the earlier version `number`, or a Refusal.
 
-    Where that body is in force already, under a later number, the value stays as it is.
+    If that body is already in force under a later number, the value is unchanged.
     """
     configuration = value.configuration
     entry = _entry(configuration, number)
@@ -66,17 +66,17 @@
 
 
 def find_existing_change(value: Value, digest: str, by: str, when: float) -> ConfigurationEntry | None:
-    """The version that this very change has made; None where it has made none yet.
+    """Return the version that this change has already created, or None.
 
-    A change is proposed again where its round met another, whose proposer may have brought it about meanwhile: made
-    twice, it would take back what others have pushed since.  An instance gives each of its changes a time of its own.
+    A change is proposed again if its round conflicted with another, whose proposer may have completed it: applied
+    twice, it would revert what others have pushed since.  An instance gives each of its changes a unique time.
     """
     entries = reversed(value.configuration.history)
     return next((e for e in entries if (e.digest, e.by, e.when) == (digest, by, when)), None)
 
 
 def stamp(value: Value, register: int) -> Stamp:
-    """The version in force by the value of that register; NO_VERSION where none was pushed yet."""
+    """Return the stamp of the current version of that register, or NO_VERSION if none was pushed yet."""
     current = value.configuration.current
     if current is None:
         return NO_VERSION
@@ -88,7 +88,7 @@
 
 
 def _moved_on(configuration: Configuration, against: int | None) -> Refusal | None:
-    """A refusal where another version than `against` is in force; it names all that came between."""
+    """Return a Refusal that lists the versions since `against`, or None if `against` is in force or None."""
     if against is None or against == configuration.number:
         return None
     if against > configuration.number:
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -1,4 +1,4 @@
-"""What operators ask of one member about the configuration: push, roll back, status, history."""
+"""Operators' configuration calls to one member: push, rollback, status and history."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from thistleshore.releases.faults import point
 from thistleshore.releases.model import Configuration, ConfigurationEntry, Refusal, Value
 
-SPREAD_WITHIN = 0.3  # s for the zone relays to answer; the whole call is to be answered within 0.8 s
-NEWEST = "-"  # in place of the version that a change is made against: whichever is in force
+SPREAD_WITHIN = 0.3  # seconds for the zone relays to answer; the whole call has to be answered within 0.8 s
+NEWEST = "-"  # as the version that a change is made against: whichever is in force
 
 ValueChange = Callable[[Value], Value | Refusal]
 
 
 class Done(msgspec.Struct, frozen=True, tag_field="status", tag="done"):
-    """A change is agreed: that version is in force by the register."""
+    """A change is agreed on: that version is the register's current one."""
 
     number: int
     digest: str
 
 
 class Taken(msgspec.Struct, frozen=True, tag_field="status", tag="done"):
-    """A piece of an upload was taken in."""
+    """A piece of an upload was stored."""
 
 
 class Refused(msgspec.Struct, frozen=True, tag_field="status", tag="refused"):
@@ -40,7 +40,7 @@
 
     told: str
     problems: tuple[str, ...] = ()  # of the body, each with its file and key
-    entries: tuple[ConfigurationEntry, ...] = ()  # that came since the version that the change was made against
+    entries: tuple[ConfigurationEntry, ...] = ()  # the versions since the one that the change was made against
 
 
 class Unagreed(msgspec.Struct, frozen=True, tag_field="status", tag="no-majority"):
@@ -59,7 +59,7 @@
 
 
 class ZoneStatus(msgspec.Struct, frozen=True):
-    """How far one zone is with a version, as an answer has it."""
+    """How far a version has spread in one zone, as an answer has it."""
 
     zone: str
     members: int
@@ -69,28 +69,28 @@
 
 
 def zone_status(zone: Zone) -> ZoneStatus:
-    """The rows of the protocol are arrays; those of an answer are objects."""
+    """Convert a zone for an answer: the protocol encodes its reports as arrays, an answer as objects."""
     behind = tuple(Behind(row.name, row.applied, row.refused, row.reason) for row in zone.behind)
     return ZoneStatus(zone.zone, zone.members, zone.applied, behind, zone.unknown)
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The newest version, and how far the fleet is with one."""
+    """The newest version, and how far a version has spread."""
 
-    agreed: bool  # whether a majority says so now
-    number: int  # the newest that is known
+    agreed: bool  # whether a majority confirms it now
+    number: int  # the newest known version
     digest: str
     in_force_here: int
     serving_from: str  # fleet, disk or file
-    spread_of: int  # the version that the zones are counted for
+    spread_of: int  # the version that `zones` counts
     everywhere: bool
     zones: tuple[ZoneStatus, ...]
-    unlisted: int  # members that others know and this one does not: they died before it joined
+    unlisted: int  # members unknown to this one, as they died before it joined
     counts: dict[str, int]
 
 
 class History(msgspec.Struct, frozen=True):
-    """The versions that the register still names, the oldest first."""
+    """The versions in the register's history, the oldest first."""
 
     agreed: bool
     entries: tuple[ConfigurationEntry, ...]
@@ -107,7 +107,7 @@
         self._uploads = Uploads()
 
     async def on_call(self, name: str, words: Sequence[str]) -> Any:
-        """The answer to one call, as JSON has it."""
+        """Return the answer to one call, in JSON types."""
         try:
             answer = await self._answer(name, words)
         except UploadError as problem:
@@ -147,7 +147,7 @@
         return await self._agree(body, change, against, now)
 
     async def _roll_back(self, number: int, against: int | None, reason: str) -> Answer:
-        """A new version with the body of an earlier one."""
+        """Create a new version with the body of an earlier one."""
         entry = next((entry for entry in self._configuration().history if entry.number == number), None)
         if entry is None:
             kept = ", ".join(str(entry.number) for entry in self._configuration().history) or "none"
@@ -163,9 +163,9 @@
         return await self._agree(body, change, against, now)
 
     async def _agree(self, body: bytes, change: ValueChange, against: int | None, when: float) -> Answer:
-        """Check the body with this member's own file, have a majority keep it, and change the register.
+        """Check the body with this member's own file, store it at a majority of the voters, and change the register.
 
-        `when` is the time that the change gives itself.
+        `when` is the time recorded in the change.
         """
         await self.applier.check(body)
         await self.releases.deposit(body)
@@ -185,7 +185,7 @@
             return ()
         return tuple(entry for entry in self._configuration().history if entry.number > against)
 
-    # -- what is known
+    # -- status
 
     async def _status(self, number: int | None) -> Status:
         distribution = self.distribution
@@ -195,12 +195,12 @@
         machine = distribution.machine
         return Status(
             self._agreed(),
-            newest.number,  # as it was when the zones were counted for it
+            newest.number,  # the value from before the zones were counted
             newest.digest,
             machine.applied.number,
             distribution.serving_from,
             number,
-            # Some that started together in a cut may know nobody else: a majority of the voters has to say so, too.
+            # Members that started in a network partition may know only each other, so a majority must confirm, too.
             spread.everywhere and distribution.fleet.machine.knows_all and self._agreed(),
             tuple(map(zone_status, spread.zones)),
             distribution.fleet.machine.unlisted_count,
@@ -211,7 +211,7 @@
         return self.releases.known is not None and self.releases.has_recent_majority
 
     def _configuration(self) -> Configuration:
-        """As it is known here."""
+        """Return the configuration of the register as known on this instance."""
         known = self.releases.known
         return known.configuration if known is not None else Configuration()
 
@@ -223,5 +223,5 @@
 
 
 def _number(word: str) -> int | None:
-    """The version that a change is made against; None for whichever is in force."""
+    """Parse the version that a change is made against; None for whichever is in force."""
     return None if word == NEWEST else _whole(word)
--- a/thistleshore/configuration/carrier.py
+++ b/thistleshore/configuration/carrier.py
@@ -37,6 +37,8 @@
 
 
 class Datagram(NamedTuple):
+    """A distribution datagram was received."""
+
     data: bytes
     sender: Address
 
@@ -53,10 +55,14 @@
 
 
 class Applied(NamedTuple):
+    """The version is durable and in force."""
+
     stamp: Stamp
 
 
 class Refused(NamedTuple):
+    """The version could not be put in force."""
+
     stamp: Stamp
     reason: str
 
--- a/thistleshore/configuration/document.py
+++ b/thistleshore/configuration/document.py
@@ -1,7 +1,7 @@
-"""The body of a version: TOML text of the tables that all instances share, checked, and laid over an instance's file.
+"""Parses and checks the body of a version, TOML tables shared by all instances, and overlays it on an instance's file.
 
-What a document may hold is what a process can put in force while it serves.  Everything else is refused by name, at the
-push already and again at each instance, whose own file it has to fit.
+A document may only have tables that a process can put in force without a restart.  All others are rejected by name, at
+the push and again on each instance, as the document has to fit that instance's own file.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT
 
 DISTRIBUTED = ("match", "address_set", "expressions", "member", "contracts", "host")
-NESTING_MOST = 16  # tables and lists in one another, and parts of a dotted key
-SOURCE = "configuration"  # what faults call a document without a file
+NESTING_MOST = 16  # nesting depth of tables and lists, and parts of a dotted key
+SOURCE = "configuration"  # source named in errors of a document without a file
 OWN_FILE = "this instance's file"
 
 _KEY_PART = r"""(?:[\w-]+|"(?:[^"\\\n]|\\.)*"|'[^'\n]*')"""
 _DEEP_KEY = re.compile(rf"(?<![\w-])(?:{_KEY_PART}[ \t]*\.[ \t]*){{{NESTING_MOST}}}")
-_FIRST_KEY = re.compile(r"(?:\d+:\d+: )?(\w+)")  # of a fault, behind its place in an expression
+_FIRST_KEY = re.compile(r"(?:\d+:\d+: )?(\w+)")  # first key in an error, after its position in an expression
 
 
 class DocumentError(ValueError):
@@ -34,14 +34,14 @@
 
 
 class Document(NamedTuple):
-    """Tables that replace those of an instance's own file; `source` is how faults name where they come from."""
+    """Tables that replace those of an instance's own file; `source` names their origin in errors."""
 
     tables: Mapping[str, Any]
     source: str = SOURCE
 
 
 def parse(body: bytes, source: str = SOURCE, body_format: int = FORMAT) -> Document:
-    """The document of a body, or DocumentError with all that is wrong with it by itself."""
+    """Parse a body; raise DocumentError with all its problems apart from any instance's file."""
     if body_format > FORMAT:
         raise DocumentError((f"{source}: it has format {body_format}, and this program reads {FORMAT}",))
     tables = _tables(body, source)
@@ -51,14 +51,14 @@
 
 
 def overlay(told: Mapping[str, Any], document: Document) -> dict[str, Any]:
-    """An instance's own tables with those of the document, each of which replaces the file's whole."""
+    """Return an instance's own tables, each replaced whole by the document's table of that name, if any."""
     return {**told, **document.tables}
 
 
 def plan_of(told: Mapping[str, Any], document: Document, epoch: float) -> config.Plan:
-    """The plan of the document over an instance's own tables `told`, as the file words them.
+    """Return the plan of the document over an instance's own tables `told`, as parsed from its file.
 
-    DocumentError where they do not fit, or where the instance could not put the plan in force without a restart.
+    Raises DocumentError if they conflict, or if the instance cannot put the plan in force without a restart.
     """
     if problems := _needing_restart(told, document):
         raise DocumentError(tuple(f"{document.source}: {problem}" for problem in problems))
@@ -76,7 +76,7 @@
         text = body.decode()
     except UnicodeDecodeError as problem:
         raise DocumentError((f"{source}: {problem}",)) from None
-    if _DEEP_KEY.search(text):  # the time that the parser takes grows with the square of the parts of one key
+    if _DEEP_KEY.search(text):  # the parser's time is quadratic in the parts of one key
         raise too_deep
     try:
         tables = tomllib.loads(text)
@@ -90,7 +90,7 @@
 
 
 def _depth(tables: Mapping[str, Any]) -> int:
-    """How many tables and lists are in one another; by a loop, as a hostile document is deeper than the stack."""
+    """Return the nesting depth; iterative, as a hostile document could exhaust the stack."""
     depth, level = 0, list[Any]([tables])
     while level:
         depth += 1
@@ -104,7 +104,7 @@
 
 
 def _hosts_without_address(tables: Mapping[str, Any]) -> list[str]:
-    """Hosts without one are seats of a beanstalkd front, which hold until a restart."""
+    """Hosts without an address are seats of a beanstalkd front, which cannot change without a restart."""
     hosts = tables.get("host", [])
     if not isinstance(hosts, list):
         return ["host: tables of the form [[host]] are wanted"]
@@ -116,9 +116,9 @@
 
 
 def _needing_restart(told: Mapping[str, Any], document: Document) -> list[str]:
-    """What this instance could not put in force while it serves; a list of hosts is put in force whole.
+    """Return what this instance cannot put in force without a restart; a list of hosts can be replaced whole.
 
-    `Plan.changed` asks for a restart at a change of hosts, as SIGHUP does not follow them, so it is not asked here.
+    `Plan.changed` is not used, as it requires a restart for a change of hosts, which SIGHUP does not apply.
     """
     problems = [
         f"{key}: it takes a restart"
@@ -134,7 +134,7 @@
 
 
 def _with_source(problem: str, document: Document) -> str:
-    """A fault of the plan with the source of the table that it is in."""
+    """Prefix an error of the plan with the source of the table that it is in."""
     first = _FIRST_KEY.match(problem)
     from_document = first is not None and first.group(1) in document.tables
     return f"{document.source if from_document else OWN_FILE}: {problem}"
--- a/thistleshore/configuration/store.py
+++ b/thistleshore/configuration/store.py
@@ -1,7 +1,7 @@
-"""Durable files: the version in force at this instance, and the bodies that a voter keeps.
+"""Durable files: the version in force on this instance, and the bodies stored by a voter.
 
-Every file is written whole beside its place, synced, renamed, and its folder synced, so that it is seen as it was or as
-it is to be, also after a crash.
+Each file is written to a temporary file, synced and renamed, and its folder is synced, so that replacement is atomic
+even across a crash.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from thistleshore.releases.store import Unusable
 
 VERSION_FILE = "configuration.version"
-FILE_FORMAT = 1  # of VERSION_FILE; that of the body is in its stamp
+FILE_FORMAT = 1  # format of VERSION_FILE; the format of the body is in its stamp
 FILE_MOST = 2 * MAX_BODY_BYTES
-BODY_FOLDER = "bodies"  # below a voter's folder
-MAX_UNREFERENCED_BODIES = 8  # bodies that no entry of the history names
-TEMPORARY_KEPT = 600.0  # s, after which the temporary file of a process that died is removed
+BODY_FOLDER = "bodies"  # inside a voter's folder
+MAX_UNREFERENCED_BODIES = 8  # stored bodies that no entry of the history names
+TEMPORARY_KEPT = 600.0  # seconds; age at which leftover temporary files are removed
 
 _MAGIC = b"thistleshore configuration "
 _DIGEST = re.compile(r"[0-9a-f]{32}")
@@ -31,31 +31,31 @@
 
 
 class StoreError(Exception):
-    """The file in force cannot be used; the text says why."""
+    """The stored version cannot be used; the message says why."""
 
 
 class CorruptFile(StoreError):
-    """The file is cut off or altered."""
+    """The file is truncated or altered."""
 
 
 class NewerFormat(StoreError):
-    """A newer program wrote the file, or its body is of a newer format."""
+    """The file or its body has a newer format than this program reads."""
 
 
 class OtherFleet(StoreError):
-    """The file is that of another fleet."""
+    """The file belongs to another fleet."""
 
 
 class Unreadable(StoreError):
-    """The system did not give the file out."""
+    """The operating system could not read the file."""
 
 
 class Unwritable(StoreError):
-    """The disk took nothing: what was there before still is."""
+    """The file could not be written; the previous one is intact."""
 
 
 class _Saved(msgspec.Struct, frozen=True, array_like=True):
-    """What stands in the file behind its format and checksum."""
+    """The content of the file after its header."""
 
     fleet: str
     stamp: Stamp
@@ -63,21 +63,23 @@
 
 
 class VersionStore:
-    """One instance's version in force, in one file.
+    """Stores the version in force on one instance, in one file.
 
-    The file is `thistleshore configuration FORMAT CHECKSUM`, a line feed, and MessagePack.  A file that was set back to
-    an older copy of itself cannot be told from a sound one: the instance then starts on the older version, and the
-    comparison with its relays brings it up again.
+    The file is `thistleshore configuration FORMAT CHECKSUM`, a line feed, and MessagePack.  A file restored
+    from an older copy cannot be detected: the instance then starts on the older version, and catches up through its
+    relays.
 
-    Two processes of a hot restart may write at the same time: each writes a temporary file of its own, and the rename
-    that comes last stays.
+    Two processes of a hot restart may write concurrently: each has its own temporary file, and the last rename wins.
     """
 
     def __init__(self, folder: Path, fleet: str) -> None:
         self.folder, self.fleet = folder, fleet
 
     def read(self) -> tuple[Stamp, bytes] | None:
-        """The stamp and the body, None where nothing was ever written; StoreError where they cannot be used."""
+        """Return the stamp and the body, or None if nothing was ever written.
+
+        Raises StoreError if they cannot be used.
+        """
         try:
             data = _read_bounded(self.folder / VERSION_FILE, FILE_MOST)
         except FileNotFoundError:
@@ -95,7 +97,7 @@
         return saved.stamp, saved.body
 
     def write(self, stamp: Stamp, body: bytes) -> None:
-        """Durable once this returns; Unwritable where the disk takes nothing."""
+        """Write the version durably; raise Unwritable if that fails."""
         data = _encode(_Saved(self.fleet, stamp, body))
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
@@ -105,13 +107,13 @@
 
 
 class FileBodyStore:
-    """The bodies that a voter keeps: files named by their digests, each checked against its name when it is read."""
+    """The bodies stored by a voter, in files named by digest and verified when read."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def read(self, digest: str) -> bytes | None:
-        """The body; None where there is none of that digest, or where it is not whole any more."""
+        """Return the body, or None if it is missing or corrupt."""
         if not _DIGEST.fullmatch(digest):
             return None
         try:
@@ -121,9 +123,9 @@
         return body if digest_of(body) == digest else None
 
     def keep(self, digest: str, body: bytes, named: Collection[str]) -> None:
-        """Durable once this returns; Unusable where it is not that body, or where the disk takes nothing.
+        """Store a body durably; raise Unusable if it does not match the digest or cannot be written.
 
-        Kept besides are the bodies that `named` has, and the MAX_UNREFERENCED_BODIES newest of the others.
+        Of the other bodies, those in `named` and the MAX_UNREFERENCED_BODIES newest of the rest are retained.
         """
         if len(body) > MAX_BODY_BYTES:
             raise Unusable(f"the body has over {MAX_BODY_BYTES} bytes")
@@ -135,13 +137,13 @@
                 _replace(self.folder / digest, body)
             else:
                 os.utime(self.folder / digest)
-                _sync_folder(self.folder)  # the process that renamed it may have died before it did so
+                _sync_folder(self.folder)  # the process that renamed the file may have died before syncing the folder
         except OSError as problem:
             raise Unusable(f"its disk takes nothing: {problem.strerror}") from None
         self._drop_others({digest, *named})
 
     def _drop_others(self, wanted: Collection[str]) -> None:
-        """Remove what is no longer wanted; what cannot be removed stays, and does no harm."""
+        """Remove old unreferenced bodies; failures are ignored, as leftovers are harmless."""
         others: list[tuple[int, Path]] = []
         try:
             for path in self.folder.iterdir():
@@ -159,7 +161,7 @@
 
 
 def _decode(data: bytes) -> _Saved:
-    """What the file says, or CorruptFile or NewerFormat."""
+    """Decode the file; raise CorruptFile or NewerFormat if that fails."""
     head, _, content = data.partition(b"\n")
     file_format, _, checksum = head.removeprefix(_MAGIC).partition(b" ")
     if not head.startswith(_MAGIC) or not file_format.isdigit():
@@ -176,13 +178,13 @@
 
 
 def _read_bounded(path: Path, most: int) -> bytes:
-    """The bytes of a file, and one more than `most` where it is longer: no check takes those for whole."""
+    """Read at most `most` + 1 bytes of a file; the extra byte makes the checks of an oversized file fail."""
     with path.open("rb") as file:
         return file.read(most + 1)
 
 
 def _replace(path: Path, data: bytes) -> None:
-    """Put a file in its place, whole and durable; OSError leaves the one before."""
+    """Replace a file atomically and durably; on OSError the previous file is intact."""
     _remove_left_over(path.parent)
     temporary = path.with_name(f"{path.name}.{os.getpid()}.{next(_writes)}.tmp")
     try:
@@ -214,7 +216,7 @@
 
 
 def _remove_left_over(folder: Path) -> None:
-    """Remove temporary files of processes that died long ago."""
+    """Remove old temporary files left by processes that died."""
     for path in folder.glob("*.tmp"):
         try:
             if time.time() - path.stat().st_mtime > TEMPORARY_KEPT:
--- a/thistleshore/configuration/uploads.py
+++ b/thistleshore/configuration/uploads.py
@@ -1,4 +1,4 @@
-"""Bodies that operators bring in pieces, as one call of the admin interface carries only so much."""
+"""Reassembles bodies that operators upload in pieces, as the size of one admin call is limited."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 from thistleshore.distribution.model import MAX_BODY_BYTES
 
-UPLOADS_MOST = 8  # at a time
-PIECES_MOST = 160  # of one; a body that cannot be compressed needs 117
-PIECE_MOST = 3000  # characters of one
-EXPIRES = 30.0  # s after its last piece
-WINDOW_MOST = 1 << 23  # bytes that a decompressor may take for what lies behind
+UPLOADS_MOST = 8  # concurrent uploads
+PIECES_MOST = 160  # pieces per upload; an incompressible body needs 117
+PIECE_MOST = 3000  # characters per piece
+EXPIRES = 30.0  # seconds after the last piece
+WINDOW_MOST = 1 << 23  # bytes of the decompressor's window
 NAME = re.compile(r"[0-9a-zA-Z_-]{1,32}")
 
 
 class UploadError(ValueError):
-    """A piece, or an upload as a whole, that cannot be used."""
+    """A piece or an upload is invalid."""
 
 
 @dataclass(slots=True)
 class Upload:
-    """The pieces of one body that have come."""
+    """The pieces of one body received so far."""
 
     count: int
     touched: float
@@ -34,13 +34,13 @@
 
 
 class Uploads:
-    """All that are under way; bounded in number and size, and dropped where nothing more comes."""
+    """All uploads in progress, bounded in number and size; idle ones expire."""
 
     def __init__(self) -> None:
         self._uploads: dict[str, Upload] = {}
 
     def add(self, name: str, index: str, count: str, data: str, now: float) -> None:
-        """Take a piece in; the same piece twice is one piece."""
+        """Store a piece; a repeated piece replaces the earlier one."""
         self._expire(now)
         if not NAME.fullmatch(name):
             raise UploadError("the name of an upload has 1 to 32 letters and digits")
@@ -59,7 +59,7 @@
         upload.pieces[number], upload.touched = data, now
 
     def take(self, name: str, now: float) -> bytes:
-        """The body of a whole upload, which is forgotten."""
+        """Return the body of a complete upload, and forget the upload."""
         self._expire(now)
         upload = self._uploads.get(name)
         if upload is None:
@@ -80,7 +80,7 @@
 
 
 def decompressed(text: str) -> bytes:
-    """The body of a whole upload's text."""
+    """Decode and decompress the text of a complete upload."""
     try:
         data = base64.b64decode(text, altchars=b"-_", validate=True)
         size = zstandard.get_frame_parameters(data).content_size
--- a/thistleshore/distribution/model.py
+++ b/thistleshore/distribution/model.py
@@ -52,6 +52,7 @@
 
     @property
     def region(self) -> str:
+        """The region of the member's zone."""
         return region_of(self.zone)
 
 
