--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -32,7 +32,14 @@
     digest_of,
 )
 from thistleshore.configuration.store import VERSION_FILE, VersionStore
-from thistleshore.configuration.uploads import EXPIRES, PIECES_MOST, UPLOADS_MOST, UploadError, Uploads, decompressed
+from thistleshore.configuration.uploads import (
+    UPLOAD_TIMEOUT,
+    MAX_PIECES,
+    MAX_UPLOADS,
+    UploadError,
+    Uploads,
+    decode_upload,
+)
 from thistleshore.fleet.carrier import Carrier
 from thistleshore.fleet.model import Record, Service, State, Terms as FleetTerms
 from thistleshore.fleet.plan import FleetPlan
@@ -238,22 +245,22 @@
     for name, index, count, data in (
         ("u", "2", "2", ""),
         ("u", "0", "0", ""),
-        ("u", "0", str(PIECES_MOST + 1), ""),
+        ("u", "0", str(MAX_PIECES + 1), ""),
         ("u", "x", "2", ""),
         ("u", "0", "2", "a" * 3001),
         ("../u", "0", "2", ""),
     ):
         with pytest.raises(UploadError):
             uploads.add(name, index, count, data, 0.0)
-    for number in range(UPLOADS_MOST):
+    for number in range(MAX_UPLOADS):
         uploads.add(f"u{number}", "0", "2", "a", 0.0)
     with pytest.raises(UploadError, match="are under way"):
         uploads.add("more", "0", "1", "a", 0.0)
     with pytest.raises(UploadError, match="has 2 pieces"):
         uploads.add("u0", "0", "3", "a", 0.0)
-    uploads.add("more", "0", "1", "a", EXPIRES + 1.0)
+    uploads.add("more", "0", "1", "a", UPLOAD_TIMEOUT + 1.0)
     with pytest.raises(UploadError, match="no upload"):
-        uploads.take("u0", EXPIRES + 1.0)
+        uploads.take("u0", UPLOAD_TIMEOUT + 1.0)
 
 
 @pytest.mark.parametrize(
@@ -261,7 +268,7 @@
 )
 def test_a_spoilt_or_too_large_upload_is_refused(text: str) -> None:
     with pytest.raises(UploadError):
-        decompressed(text)
+        decode_upload(text)
 
 
 def test_the_largest_piece_fits_a_line_of_the_admin_interface() -> None:
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -17,7 +17,7 @@
 from thistleshore.config.fleets import clashes
 from thistleshore.config.platform import MOVES
 from thistleshore.configuration import document, store
-from thistleshore.configuration.document import DocumentError, overlay, parse, plan_of
+from thistleshore.configuration.document import DocumentError, overlay, parse, build_plan
 from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT, Stamp, ProtocolSettings, digest_of
 
 EXAMPLE = ROOT / "deploy" / "releases.toml"
@@ -38,7 +38,7 @@
 
 def misfits(body: bytes, own: dict[str, Any]) -> tuple[str, ...]:
     with pytest.raises(DocumentError) as found:
-        plan_of(own, parse(body, "pushed.toml"), 0.0)
+        build_plan(own, parse(body, "pushed.toml"), 0.0)
     return found.value.problems
 
 
@@ -50,10 +50,10 @@
     laid = overlay(own, parse(HOST))
     assert [host["name"] for host in laid["host"]] == ["w"] and laid["contract"] == own["contract"]
     assert [host["name"] for host in own["host"]] == ["worker-1"]  # the file's own tables stay as they were
-    plan = plan_of(own, parse(HOST + MATCH), 0.0)
+    plan = build_plan(own, parse(HOST + MATCH), 0.0)
     assert [line.entry.worker for line in plan.known] == [b"w"]
     assert plan.live is not None and plan.live.table.rules.rules[0].name == "all"  # that of the contract follows
-    assert plan_of(own, parse(b""), 0.0).told == own
+    assert build_plan(own, parse(b""), 0.0).told == own
 
 
 def test_other_tables_are_refused_by_name_and_all_at_once() -> None:
@@ -67,7 +67,7 @@
 
 
 def test_what_is_distributed_is_what_moves_without_a_restart() -> None:
-    assert set(document.DISTRIBUTED) - {"host"} <= set(MOVES)
+    assert set(document.DISTRIBUTED_TABLES) - {"host"} <= set(MOVES)
 
 
 def test_text_that_is_no_document_is_refused() -> None:
@@ -96,7 +96,7 @@
 )
 def test_deep_nesting_is_refused_in_little_time(body: bytes) -> None:
     begun = time.process_time()
-    assert problems(body) == (f"configuration: it is nested deeper than {document.NESTING_MOST}",)
+    assert problems(body) == (f"configuration: it is nested deeper than {document.MAX_NESTING}",)
     assert time.process_time() - begun < 2.0
 
 
@@ -120,17 +120,17 @@
     assert misfits(HOST, own) == (
         "pushed.toml: host: this instance's file has hosts without an address, and those hold until a restart",
     )
-    assert plan_of(own, parse(MATCH), 0.0).live is not None  # other tables still fit
+    assert build_plan(own, parse(MATCH), 0.0).live is not None  # other tables still fit
     # A reading by SIGHUP still asks for a restart at a change of hosts.
     plan = config.operator_file(str(EXAMPLE), 0.0)
-    assert plan.changed(plan_of(told(), parse(HOST), 0.0)) == ["host"]
+    assert plan.changed(build_plan(told(), parse(HOST), 0.0)) == ["host"]
 
 
 def test_shares_are_distributed_where_they_are_kept() -> None:
     own = dict(config.operator_file(str(ROOT / "deploy" / "consortium.toml"), 0.0).told)
     members = [{"name": member["name"], "share": 0.01} for member in own["member"]]
     body = "".join(f"[[member]]\nname = '{member['name']}'\nshare = 0.01\n" for member in members).encode()
-    plan = plan_of(own, parse(body), 0.0)
+    plan = build_plan(own, parse(body), 0.0)
     assert plan.agreements is not None and plan.told["member"] == members
     assert misfits(MEMBER + MEMBER, own)[0] == "pushed.toml: member[1].name: 'line' is named twice"
 
@@ -143,7 +143,7 @@
     except DocumentError as problem:
         assert problem.problems and all(text.startswith("configuration: ") for text in problem.problems)
     else:
-        assert set(found.tables) <= set(document.DISTRIBUTED)
+        assert set(found.tables) <= set(document.DISTRIBUTED_TABLES)
 
 
 # -- the version in force
@@ -174,7 +174,7 @@
                 kept.read()
     for spoilt, kind in (
         (b"", store.CorruptFile),
-        (b"x" * (store.FILE_MOST + 5), store.CorruptFile),
+        (b"x" * (store.MAX_FILE_BYTES + 5), store.CorruptFile),
         (whole[:-1], store.CorruptFile),
         (whole.replace(b"configuration 1 ", b"configuration 2 ", 1), store.NewerFormat),
         (whole.replace(b"configuration 1 ", b"configuration 99999999999999999999 ", 1), store.NewerFormat),
@@ -244,7 +244,7 @@
 
 def test_temporary_files_of_the_dead_are_removed_and_those_of_the_living_are_not(tmp_path: Path) -> None:
     old, new = tmp_path / f"{store.VERSION_FILE}.7.0.tmp", tmp_path / f"{store.VERSION_FILE}.8.0.tmp"
-    for path, age in ((old, store.TEMPORARY_KEPT + 60.0), (new, 0.0)):
+    for path, age in ((old, store.TEMPORARY_FILE_SECONDS + 60.0), (new, 0.0)):
         path.write_bytes(b"half")
         os.utime(path, (time.time() - age,) * 2)
     store.VersionStore(tmp_path, "kigali").write(stamp_of(HOST), HOST)
--- a/thistleshore/configuration/agreement.py
+++ b/thistleshore/configuration/agreement.py
@@ -35,7 +35,7 @@
     current = value.configuration.current
     if current is not None and current.digest == digest or find_existing_change(value, digest, by, when) is not None:
         return value
-    if (refused := _moved_on(value.configuration, against)) is not None:
+    if (refused := _refuse_if_outdated(value.configuration, against)) is not None:
         return refused
     return _with_entry(value, digest, size, by, reason, when, restored=0)
 
@@ -48,9 +48,9 @@
     configuration = value.configuration
     entry = _entry(configuration, number)
     if entry is None:
-        kept = ", ".join(str(entry.number) for entry in configuration.history) or "none"
-        told = f"no version {number} is kept; there are: {kept}"
-        return Refusal(UNKNOWN, configuration.number, (), told)
+        available = ", ".join(str(entry.number) for entry in configuration.history) or "none"
+        message = f"no version {number} is kept; there are: {available}"
+        return Refusal(UNKNOWN, configuration.number, (), message)
     if number == configuration.number:
         return Refusal(IN_FORCE, configuration.number, (), f"version {number} is in force")
     current = configuration.current
@@ -60,7 +60,7 @@
         or find_existing_change(value, entry.digest, by, when) is not None
     ):
         return value
-    if (refused := _moved_on(configuration, against)) is not None:
+    if (refused := _refuse_if_outdated(configuration, against)) is not None:
         return refused
     return _with_entry(value, entry.digest, entry.size, by, reason, when, restored=number)
 
@@ -87,22 +87,22 @@
     return next((entry for entry in configuration.history if entry.number == number), None)
 
 
-def _moved_on(configuration: Configuration, against: int | None) -> Refusal | None:
+def _refuse_if_outdated(configuration: Configuration, against: int | None) -> Refusal | None:
     """Return a Refusal that lists the versions since `against`, or None if `against` is in force or None."""
     if against is None or against == configuration.number:
         return None
     if against > configuration.number:
-        told = f"there is no version {against}; version {configuration.number} is in force"
-        return Refusal(AGAINST, configuration.number, (), told)
+        message = f"there is no version {against}; version {configuration.number} is in force"
+        return Refusal(AGAINST, configuration.number, (), message)
     between = [entry for entry in configuration.history if entry.number > against]
-    told = f"made against version {against}, and version {configuration.number} is in force; in between: "
+    message = f"made against version {against}, and version {configuration.number} is in force; in between: "
     if between and between[0].number > against + 1:
-        told += f"versions before {between[0].number}, which are not kept any more; "
-    told += "; ".join(_told(entry) for entry in between)
-    return Refusal(AGAINST, configuration.number, tuple(str(entry.number) for entry in between), told)
+        message += f"versions before {between[0].number}, which are not kept any more; "
+    message += "; ".join(_describe(entry) for entry in between)
+    return Refusal(AGAINST, configuration.number, tuple(str(entry.number) for entry in between), message)
 
 
-def _told(entry: ConfigurationEntry) -> str:
+def _describe(entry: ConfigurationEntry) -> str:
     restored = f", which restored {entry.restored}" if entry.restored else ""
     return f"version {entry.number} by {entry.by}{restored} ({entry.reason or 'no reason given'})"
 
@@ -110,10 +110,10 @@
 def _with_entry(
     value: Value, digest: str, size: int, by: str, reason: str, when: float, restored: int
 ) -> Value | Refusal:
-    before = value.configuration
-    number = before.number + 1
+    previous = value.configuration
+    number = previous.number + 1
     reason = reason[:MAX_REASON_LENGTH]
-    entry = ConfigurationEntry(number, digest, size, by, reason, when, before.number, restored)
-    history = (*before.history, entry)[-MAX_CONFIGURATIONS:]
-    after = msgspec.structs.replace(before, number=number, history=history)
-    return with_change(value, ACT, str(number), reason, by, when, configuration=after)
+    entry = ConfigurationEntry(number, digest, size, by, reason, when, previous.number, restored)
+    history = (*previous.history, entry)[-MAX_CONFIGURATIONS:]
+    updated = msgspec.structs.replace(previous, number=number, history=history)
+    return with_change(value, ACT, str(number), reason, by, when, configuration=updated)
--- a/thistleshore/configuration/applying.py
+++ b/thistleshore/configuration/applying.py
@@ -146,7 +146,7 @@
         file = self._file if file is None else file
         try:
             parsed = document.parse(body)
-            plan = document.plan_of(file.told, parsed, file.epoch)
+            plan = document.build_plan(file.told, parsed, file.epoch)
         except document.DocumentError as error:
             raise NotApplied(*error.problems) from None
         hosts = HOSTS in parsed.tables
--- a/thistleshore/configuration/calls.py
+++ b/thistleshore/configuration/calls.py
@@ -18,8 +18,8 @@
 from thistleshore.releases.faults import point
 from thistleshore.releases.model import Configuration, ConfigurationEntry, Refusal, Value
 
-SPREAD_WITHIN = 0.3  # seconds for the zone relays to answer; the whole call has to be answered within 0.8 s
-NEWEST = "-"  # as the version that a change is made against: whichever is in force
+SPREAD_TIMEOUT = 0.3  # seconds for the zone relays to answer; the whole call has to be answered within 0.8 s
+CURRENT = "-"  # as the version that a change is made against: whichever is in force
 
 ValueChange = Callable[[Value], Value | Refusal]
 
@@ -125,11 +125,11 @@
                 self._uploads.add(upload, index, count, data, trio.current_time())
                 return Taken()
             case "config-push":
-                return await self._push(words[0], words[1], _number(words[2]), " ".join(words[3:]))
+                return await self._push(words[0], words[1], _parse_against(words[2]), " ".join(words[3:]))
             case "config-rollback":
-                return await self._roll_back(_whole(words[0]), _number(words[1]), " ".join(words[2:]))
+                return await self._roll_back(_parse_number(words[0]), _parse_against(words[1]), " ".join(words[2:]))
             case "config-status":
-                return await self._status(_whole(words[0]) if words else None)
+                return await self._status(_parse_number(words[0]) if words else None)
             case _:
                 return History(self._agreed(), self._configuration().history)
 
@@ -139,10 +139,10 @@
         body = self._uploads.take(upload, trio.current_time())
         if digest_of(body) != digest:
             return Refused("the upload is spoilt: its digest is another")
-        me, now = self.releases.name, time.time()
+        local_name, now = self.releases.name, time.time()
 
         def change(value: Value) -> Value | Refusal:
-            return agreement.push(value, against, digest, len(body), me, reason, now)
+            return agreement.push(value, against, digest, len(body), local_name, reason, now)
 
         return await self._agree(body, change, against, now)
 
@@ -150,15 +150,15 @@
         """Create a new version with the body of an earlier one."""
         entry = next((entry for entry in self._configuration().history if entry.number == number), None)
         if entry is None:
-            kept = ", ".join(str(entry.number) for entry in self._configuration().history) or "none"
-            return Refused(f"no version {number} is kept; there are: {kept}")
+            available = ", ".join(str(entry.number) for entry in self._configuration().history) or "none"
+            return Refused(f"no version {number} is kept; there are: {available}")
         body = await self.releases.fetch_body(entry.digest)
         if body is None:
             return Unagreed(f"no voter that answers has the body of version {number}")
-        me, now = self.releases.name, time.time()
+        local_name, now = self.releases.name, time.time()
 
         def change(value: Value) -> Value | Refusal:
-            return agreement.rollback(value, number, against, me, reason, now)
+            return agreement.rollback(value, number, against, local_name, reason, now)
 
         return await self._agree(body, change, against, now)
 
@@ -170,14 +170,14 @@
         await self.applier.check(body)
         await self.releases.deposit(body)
         point("configuration-deposited")
-        found = await self.releases.change(change)
-        if isinstance(found, Refusal):
-            return Refused(found.reason, entries=self._since(against))
+        outcome = await self.releases.change(change)
+        if isinstance(outcome, Refusal):
+            return Refused(outcome.reason, entries=self._since(against))
         point("configuration-agreed")
-        stamp = agreement.stamp(found, self.releases.register)
+        stamp = agreement.stamp(outcome, self.releases.register)
         if stamp.digest == digest_of(body):
             self.distribution.on_pushed(stamp, body)
-        entry = agreement.find_existing_change(found, digest_of(body), self.releases.name, when)
+        entry = agreement.find_existing_change(outcome, digest_of(body), self.releases.name, when)
         return Done(stamp.number if entry is None else entry.number, digest_of(body))
 
     def _since(self, against: int | None) -> tuple[ConfigurationEntry, ...]:
@@ -191,7 +191,7 @@
         distribution = self.distribution
         newest = distribution.newest
         number = newest.number if number is None else number
-        spread = await distribution.spread(number, SPREAD_WITHIN)
+        spread = await distribution.spread(number, SPREAD_TIMEOUT)
         machine = distribution.machine
         return Status(
             self._agreed(),
@@ -216,12 +216,12 @@
         return known.configuration if known is not None else Configuration()
 
 
-def _whole(word: str) -> int:
+def _parse_number(word: str) -> int:
     if not (word.isascii() and word.isdigit() and len(word) < 16):
         raise UploadError(f"the number of a version is wanted, not {word!r}")
     return int(word)
 
 
-def _number(word: str) -> int | None:
+def _parse_against(word: str) -> int | None:
     """Parse the version that a change is made against; None for whichever is in force."""
-    return None if word == NEWEST else _whole(word)
+    return None if word == CURRENT else _parse_number(word)
--- a/thistleshore/configuration/document.py
+++ b/thistleshore/configuration/document.py
@@ -15,13 +15,13 @@
 from thistleshore.config.platform import MOVES
 from thistleshore.distribution.model import MAX_BODY_BYTES, FORMAT
 
-DISTRIBUTED = ("match", "address_set", "expressions", "member", "contracts", "host")
-NESTING_MOST = 16  # nesting depth of tables and lists, and parts of a dotted key
+DISTRIBUTED_TABLES = ("match", "address_set", "expressions", "member", "contracts", "host")
+MAX_NESTING = 16  # nesting depth of tables and lists, and parts of a dotted key
 SOURCE = "configuration"  # source named in errors of a document without a file
 OWN_FILE = "this instance's file"
 
 _KEY_PART = r"""(?:[\w-]+|"(?:[^"\\\n]|\\.)*"|'[^'\n]*')"""
-_DEEP_KEY = re.compile(rf"(?<![\w-])(?:{_KEY_PART}[ \t]*\.[ \t]*){{{NESTING_MOST}}}")
+_DEEP_KEY = re.compile(rf"(?<![\w-])(?:{_KEY_PART}[ \t]*\.[ \t]*){{{MAX_NESTING}}}")
 _FIRST_KEY = re.compile(r"(?:\d+:\d+: )?(\w+)")  # first key in an error, after its position in an expression
 
 
@@ -45,25 +45,25 @@
     if body_format > FORMAT:
         raise DocumentError((f"{source}: it has format {body_format}, and this program reads {FORMAT}",))
     tables = _tables(body, source)
-    if problems := (*_undistributed(tables), *_hosts_without_address(tables)):
+    if problems := (*_find_undistributed(tables), *_hosts_without_address(tables)):
         raise DocumentError(tuple(f"{source}: {problem}" for problem in problems))
     return Document(tables, source)
 
 
-def overlay(told: Mapping[str, Any], document: Document) -> dict[str, Any]:
+def overlay(file_tables: Mapping[str, Any], document: Document) -> dict[str, Any]:
     """Return an instance's own tables, each replaced whole by the document's table of that name, if any."""
-    return {**told, **document.tables}
+    return {**file_tables, **document.tables}
 
 
-def plan_of(told: Mapping[str, Any], document: Document, epoch: float) -> config.Plan:
-    """Return the plan of the document over an instance's own tables `told`, as parsed from its file.
+def build_plan(file_tables: Mapping[str, Any], document: Document, epoch: float) -> config.Plan:
+    """Return the plan of the document over an instance's own tables `file_tables`, as parsed from its file.
 
     Raises DocumentError if they conflict, or if the instance cannot put the plan in force without a restart.
     """
-    if problems := _needing_restart(told, document):
+    if problems := _find_restart_needed(file_tables, document):
         raise DocumentError(tuple(f"{document.source}: {problem}" for problem in problems))
     try:
-        return config.operator_plan(overlay(told, document), epoch)
+        return config.operator_plan(overlay(file_tables, document), epoch)
     except config.ConfigError as problem:
         raise DocumentError(tuple(_with_source(text, document) for text in problem.problems)) from None
 
@@ -71,7 +71,7 @@
 def _tables(body: bytes, source: str) -> dict[str, Any]:
     if len(body) > MAX_BODY_BYTES:
         raise DocumentError((f"{source}: it has over {MAX_BODY_BYTES} bytes",))
-    too_deep = DocumentError((f"{source}: it is nested deeper than {NESTING_MOST}",))
+    too_deep = DocumentError((f"{source}: it is nested deeper than {MAX_NESTING}",))
     try:
         text = body.decode()
     except UnicodeDecodeError as problem:
@@ -84,7 +84,7 @@
         raise too_deep from None
     except ValueError as problem:
         raise DocumentError((f"{source}: {problem}",)) from None
-    if _depth(tables) > NESTING_MOST:
+    if _depth(tables) > MAX_NESTING:
         raise too_deep
     return tables
 
@@ -99,8 +99,10 @@
     return depth
 
 
-def _undistributed(tables: Mapping[str, Any]) -> list[str]:
-    return [f"{key}: not a table that is distributed: it takes a restart" for key in tables if key not in DISTRIBUTED]
+def _find_undistributed(tables: Mapping[str, Any]) -> list[str]:
+    return [
+        f"{key}: not a table that is distributed: it takes a restart" for key in tables if key not in DISTRIBUTED_TABLES
+    ]
 
 
 def _hosts_without_address(tables: Mapping[str, Any]) -> list[str]:
@@ -115,7 +117,7 @@
     return isinstance(host, Mapping) and "address" in host
 
 
-def _needing_restart(told: Mapping[str, Any], document: Document) -> list[str]:
+def _find_restart_needed(file_tables: Mapping[str, Any], document: Document) -> list[str]:
     """Return what this instance cannot put in force without a restart; a list of hosts can be replaced whole.
 
     `Plan.changed` is not used, as it requires a restart for a change of hosts, which SIGHUP does not apply.
@@ -123,11 +125,11 @@
     problems = [
         f"{key}: it takes a restart"
         for key, found in document.tables.items()
-        if key != "host" and key not in MOVES and told.get(key) != found
+        if key != "host" and key not in MOVES and file_tables.get(key) != found
     ]
-    if "member" in document.tables and "member" not in told:
+    if "member" in document.tables and "member" not in file_tables:
         problems.append(f"member: {OWN_FILE} has none, and to begin keeping shares takes a restart")
-    seats = [host for host in told.get("host", []) if not _has_address(host)]
+    seats = [host for host in file_tables.get("host", []) if not _has_address(host)]
     if "host" in document.tables and seats:
         problems.append(f"host: {OWN_FILE} has hosts without an address, and those hold until a restart")
     return problems
--- a/thistleshore/configuration/store.py
+++ b/thistleshore/configuration/store.py
@@ -20,10 +20,10 @@
 
 VERSION_FILE = "configuration.version"
 FILE_FORMAT = 1  # format of VERSION_FILE; the format of the body is in its stamp
-FILE_MOST = 2 * MAX_BODY_BYTES
+MAX_FILE_BYTES = 2 * MAX_BODY_BYTES
 BODY_FOLDER = "bodies"  # inside a voter's folder
 MAX_UNREFERENCED_BODIES = 8  # stored bodies that no entry of the history names
-TEMPORARY_KEPT = 600.0  # seconds; age at which leftover temporary files are removed
+TEMPORARY_FILE_SECONDS = 600.0  # seconds; age at which leftover temporary files are removed
 
 _MAGIC = b"thistleshore configuration "
 _DIGEST = re.compile(r"[0-9a-f]{32}")
@@ -81,17 +81,17 @@
         Raises StoreError if they cannot be used.
         """
         try:
-            data = _read_bounded(self.folder / VERSION_FILE, FILE_MOST)
+            data = _read_bounded(self.folder / VERSION_FILE, MAX_FILE_BYTES)
         except FileNotFoundError:
             return None
-        except OSError as problem:
-            raise Unreadable(f"the version in force cannot be read: {problem.strerror}") from None
+        except OSError as error:
+            raise Unreadable(f"the version in force cannot be read: {error.strerror}") from None
         saved = _decode(data)
         if saved.fleet != self.fleet:
             raise OtherFleet(f"the version in force is that of the fleet {saved.fleet!r}, not of {self.fleet!r}")
         if saved.stamp.format > FORMAT:
-            told = f"the body in force has format {saved.stamp.format}, and this program reads {FORMAT}"
-            raise NewerFormat(told)
+            message = f"the body in force has format {saved.stamp.format}, and this program reads {FORMAT}"
+            raise NewerFormat(message)
         if len(saved.body) != saved.stamp.size or digest_of(saved.body) != saved.stamp.digest:
             raise CorruptFile("the version in force is torn: its body is not that of its stamp")
         return saved.stamp, saved.body
@@ -102,8 +102,8 @@
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             _replace(self.folder / VERSION_FILE, data)
-        except OSError as problem:
-            raise Unwritable(f"the disk takes nothing: {problem.strerror}") from None
+        except OSError as error:
+            raise Unwritable(f"the disk takes nothing: {error.strerror}") from None
 
 
 class FileBodyStore:
@@ -137,12 +137,12 @@
                 _replace(self.folder / digest, body)
             else:
                 os.utime(self.folder / digest)
-                _sync_folder(self.folder)  # the process that renamed the file may have died before syncing the folder
-        except OSError as problem:
-            raise Unusable(f"its disk takes nothing: {problem.strerror}") from None
-        self._drop_others({digest, *named})
+                _fsync_folder(self.folder)  # the process that renamed the file may have died before syncing the folder
+        except OSError as error:
+            raise Unusable(f"its disk takes nothing: {error.strerror}") from None
+        self._remove_unreferenced({digest, *named})
 
-    def _drop_others(self, wanted: Collection[str]) -> None:
+    def _remove_unreferenced(self, wanted: Collection[str]) -> None:
         """Remove old unreferenced bodies; failures are ignored, as leftovers are harmless."""
         others: list[tuple[int, Path]] = []
         try:
@@ -167,25 +167,25 @@
     if not head.startswith(_MAGIC) or not file_format.isdigit():
         raise CorruptFile("the version in force is torn: it does not begin as such a file does")
     if int(file_format[:9]) > FILE_FORMAT:
-        told = f"the version in force has format {int(file_format[:9])}, and this program reads {FILE_FORMAT}"
-        raise NewerFormat(told)
+        message = f"the version in force has format {int(file_format[:9])}, and this program reads {FILE_FORMAT}"
+        raise NewerFormat(message)
     if digest_of(content).encode() != checksum:
         raise CorruptFile("the version in force is torn: the checksum is wrong")
     try:
         return msgspec.msgpack.decode(content, type=_Saved)
-    except msgspec.MsgspecError as problem:
-        raise CorruptFile(f"the version in force is torn: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise CorruptFile(f"the version in force is torn: {error}") from None
 
 
-def _read_bounded(path: Path, most: int) -> bytes:
-    """Read at most `most` + 1 bytes of a file; the extra byte makes the checks of an oversized file fail."""
+def _read_bounded(path: Path, max_bytes: int) -> bytes:
+    """Read at most `max_bytes` + 1 bytes of a file; the extra byte makes the checks of an oversized file fail."""
     with path.open("rb") as file:
-        return file.read(most + 1)
+        return file.read(max_bytes + 1)
 
 
 def _replace(path: Path, data: bytes) -> None:
     """Replace a file atomically and durably; on OSError the previous file is intact."""
-    _remove_left_over(path.parent)
+    _remove_stale_temporaries(path.parent)
     temporary = path.with_name(f"{path.name}.{os.getpid()}.{next(_writes)}.tmp")
     try:
         _write_synced(temporary, data)
@@ -193,21 +193,21 @@
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
-    _sync_folder(path.parent)
+    _fsync_folder(path.parent)
 
 
 def _write_synced(path: Path, data: bytes) -> None:
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
-        left = memoryview(data)
-        while left:
-            left = left[os.write(descriptor, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
 
 
-def _sync_folder(folder: Path) -> None:
+def _fsync_folder(folder: Path) -> None:
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -215,11 +215,11 @@
         os.close(descriptor)
 
 
-def _remove_left_over(folder: Path) -> None:
+def _remove_stale_temporaries(folder: Path) -> None:
     """Remove old temporary files left by processes that died."""
     for path in folder.glob("*.tmp"):
         try:
-            if time.time() - path.stat().st_mtime > TEMPORARY_KEPT:
+            if time.time() - path.stat().st_mtime > TEMPORARY_FILE_SECONDS:
                 path.unlink(missing_ok=True)
         except OSError:
             continue
