--- a/tests/test_configuration_carrier.py
+++ b/tests/test_configuration_carrier.py
@@ -148,7 +148,7 @@
         (rule("new"), FORMAT + 1, "format"),
     ],
 )
-def test_what_does_not_fit_leaves_the_version_before_in_force(
+def test_an_invalid_version_leaves_the_previous_one_in_force(
     tmp_path: Path, body: str, form: int, problem: str
 ) -> None:
     process = Process(tmp_path)
@@ -159,7 +159,7 @@
     assert process.rules == ["former"] and process.store.read() == version(1, rule("former"))
 
 
-def test_a_disk_that_takes_nothing_leaves_the_version_before_in_force(tmp_path: Path) -> None:
+def test_a_write_error_leaves_the_previous_version_in_force(tmp_path: Path) -> None:
     process = Process(tmp_path / "folder")
     (tmp_path / "folder").write_text("no folder")
     with pytest.raises(NotDurable, match="the disk takes nothing"):
@@ -167,7 +167,7 @@
     assert process.rules == [] and process.applier.in_force is None
 
 
-def test_hosts_are_told_whole_and_those_of_the_file_come_back(tmp_path: Path) -> None:
+def test_hosts_are_replaced_whole_and_those_of_the_file_are_restored(tmp_path: Path) -> None:
     process = Process(tmp_path)
     process.apply(1, rule("new"))
     assert process.hosts is None
@@ -184,7 +184,7 @@
     process.apply(2, rule("new"))
 
 
-def test_an_instance_starts_on_its_disk_and_on_its_own_file_where_that_is_no_good(tmp_path: Path) -> None:
+def test_an_instance_starts_on_the_version_on_disk_or_on_its_own_file_if_that_is_unusable(tmp_path: Path) -> None:
     process = Process(tmp_path)
     assert process.applier.in_force is None and process.rules == []
     process.apply(5, rule("new") + HOSTS)
@@ -192,7 +192,7 @@
     assert again.rules == ["new"] and again.applier.in_force == StoredVersion(*version(5, rule("new") + HOSTS))
     assert [line.entry.worker for line in again.plan.known] == [b"agreed-host"] and again.applier.hosts_from_version
     assert again.plan.told == plan_of().told  # what is compared with later readings of the file
-    # Its own file does not go with it any more; another fleet's; torn.
+    # The own file conflicts with it; it belongs to another fleet; it is corrupt.
     for own, fleet, spoil in (
         (OWN.replace("seat-search", "seat-finder"), "fleet", False),
         (OWN, "other", False),
@@ -206,7 +206,7 @@
         assert applier.startup_problems == 1
 
 
-def test_a_file_read_again_has_the_version_in_force_laid_over_it(tmp_path: Path) -> None:
+def test_a_reloaded_file_is_overlaid_with_the_version_in_force(tmp_path: Path) -> None:
     process = Process(tmp_path)
     process.apply(1, rule("agreed"))
     calls: list[None] = []
@@ -214,7 +214,7 @@
     read = plan_of(OWN + rule("file"))
     found = play(process.applier.reload_file, read)
     assert found is not None and rules_of(found) == ["agreed"] and found.told == read.told
-    # One that does not go with the version is not taken, and the former one counts on.
+    # A file that conflicts with the version is rejected, and the previous reading is kept.
     assert play(process.applier.reload_file, plan_of(OWN.replace("seat-search", "seat-finder"))) is None
     process.apply(2, HOSTS)
     assert process.rules == ["file"] and len(calls) == 1
@@ -227,7 +227,7 @@
     return base64.urlsafe_b64encode(zstandard.ZstdCompressor().compress(body)).decode()
 
 
-def test_an_upload_is_put_together_from_its_pieces_in_any_order() -> None:
+def test_an_upload_is_reassembled_from_pieces_in_any_order() -> None:
     uploads, text = Uploads(), packed(b"some text")
     half = len(text) // 2
     uploads.add("u", "1", "2", text[half:], 0.0)
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize(
     "text", ["", "a", "é", packed(b"x")[:-6], packed(bytes(MAX_BODY_BYTES + 1)), packed(bytes(1 << 27))]
 )
-def test_a_spoilt_or_too_large_upload_is_refused(text: str) -> None:
+def test_a_corrupt_or_oversized_upload_is_rejected(text: str) -> None:
     with pytest.raises(UploadError):
         decode_upload(text)
 
@@ -308,7 +308,7 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait until it holds.  Threads take real time, of which the clock of a test knows nothing."""
+    """Wait until the condition holds.  Threads take real time, which the test clock does not track."""
     for _ in range(LOOKS):
         if holds():
             return
@@ -331,14 +331,14 @@
         found = await distribution.spread(2, 0.3)
         (row,) = found.zones[0].behind
         assert row.applied == 1 and row.refused == 2 and "match[0].when" in row.reason
-        # A version whose body was refused here is passed over for a newer one.
+        # A newer version is applied after one that was refused.
         distribution.on_pushed(*version(3, rule("three")))
         await until(lambda: distribution.machine.applied.number == 3)
         assert (await distribution.spread(3, 0.3)).everywhere
         nursery.cancel_scope.cancel()
 
 
-def test_versions_are_put_in_force_or_reported_with_why_not(tmp_path: Path) -> None:
+def test_versions_are_put_in_force_or_reported_with_the_reason_for_refusal(tmp_path: Path) -> None:
     play(put_in_force, tmp_path)
 
 
@@ -359,7 +359,7 @@
         distribution.on_pushed(*version(1, rule("one")))
         await until(lambda: seen.is_set() and not process.applier._lock.locked())  # noqa: SLF001
         assert process.store.read() is None and process.rules == []
-        # The next process wrote a version and has gone: this one goes on from there, before it reports anything.
+        # The successor wrote a version and exited: this process applies it before it sends any report.
         process.applier._check = checked  # type: ignore[method-assign]  # noqa: SLF001
         process.store.write(*version(2, rule("two")))
         distribution.step_aside(False)
@@ -371,7 +371,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_process_that_steps_aside_writes_no_more_and_comes_back_on_what_is_on_the_disk(tmp_path: Path) -> None:
+def test_a_process_that_steps_aside_stops_writing_and_resumes_from_the_version_on_disk(tmp_path: Path) -> None:
     play(leave_midway, tmp_path)
 
 
@@ -391,7 +391,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_version_that_the_disk_did_not_take_is_tried_again(tmp_path: Path) -> None:
+def test_a_version_that_could_not_be_written_is_retried(tmp_path: Path) -> None:
     play(full_disk, tmp_path)
 
 
@@ -411,7 +411,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_version_that_was_refused_is_tried_again_with_a_file_read_again(tmp_path: Path) -> None:
+def test_a_refused_version_is_retried_after_the_file_is_reloaded(tmp_path: Path) -> None:
     play(reload_file, tmp_path)
 
 
@@ -433,14 +433,14 @@
     return heard, dict(carrier.machine.counts)
 
 
-def test_the_fleet_s_socket_hands_on_what_comes_from_its_networks_and_is_no_longer_than_it_may_be() -> None:
+def test_the_fleet_socket_forwards_only_datagrams_of_allowed_networks_and_size() -> None:
     heard, counts = play(datagrams, ("127.0.0.0/8",))
     assert heard == [b"tC one"] and counts["garbage"] >= 1
     heard, counts = play(datagrams, ("10.0.0.0/8",))
     assert heard == [] and counts["network"] == 3
 
 
-def test_metrics_tell_the_versions_and_what_the_machine_counts() -> None:
+def test_metrics_export_the_versions_and_the_counters_of_the_machine() -> None:
     held = version(4, rule("one"))
     me = Peer("me", ("127.0.0.1", 1), "a", 1, True)
     machine = Distributor("fleet", me, frozenset(), ProtocolSettings(), 0.0, stored=held)
