--- a/thistleshore/configuration/store.py
+++ b/thistleshore/configuration/store.py
@@ -1,7 +1,7 @@
-"""Durable files: the version in force at this instance, and the bodies that a voter keeps.
+"""Durable files: the version in force on this instance, and the bodies stored by a voter.
 
-Every file is written whole beside its place, synced, renamed, and its folder synced, so that it is seen as it was or as
-it is to be, also after a crash.
+Each file is written to a temporary file, synced and renamed, and its folder is synced, so that replacement is atomic
+even across a crash.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from thistleshore.releases.store import Unusable
 
 VERSION_FILE = "configuration.version"
-FILE_FORMAT = 1  # of VERSION_FILE; that of the body is in its stamp
-FILE_MOST = 2 * MAX_BODY_BYTES
-BODY_FOLDER = "bodies"  # below a voter's folder
-MAX_UNREFERENCED_BODIES = 8  # bodies that no entry of the history names
-TEMPORARY_KEPT = 600.0  # s, after which the temporary file of a process that died is removed
+FILE_FORMAT = 1  # format of VERSION_FILE; the format of the body is in its stamp
+MAX_FILE_BYTES = 2 * MAX_BODY_BYTES
+BODY_FOLDER = "bodies"  # inside a voter's folder
+MAX_UNREFERENCED_BODIES = 8  # stored bodies that no entry of the history names
+TEMPORARY_FILE_SECONDS = 600.0  # seconds; age at which leftover temporary files are removed
 
 _MAGIC = b"thistleshore configuration "
 _DIGEST = re.compile(r"[0-9a-f]{32}")
@@ -31,31 +31,31 @@
 
 
 class StoreError(Exception):
-    """The file in force cannot be used; the text says why."""
+    """The stored version cannot be used; the message says why."""
 
 
 class CorruptFile(StoreError):
-    """The file is cut off or altered."""
+    """The file is truncated or altered."""
 
 
 class NewerFormat(StoreError):
-    """A newer program wrote the file, or its body is of a newer format."""
+    """The file or its body has a newer format than this program reads."""
 
 
 class OtherFleet(StoreError):
-    """The file is that of another fleet."""
+    """The file belongs to another fleet."""
 
 
 class Unreadable(StoreError):
-    """The system did not give the file out."""
+    """The operating system could not read the file."""
 
 
 class Unwritable(StoreError):
-    """The disk took nothing: what was there before still is."""
+    """The file could not be written; the previous one is intact."""
 
 
 class _Saved(msgspec.Struct, frozen=True, array_like=True):
-    """What stands in the file behind its format and checksum."""
+    """The content of the file after its header."""
 
     fleet: str
     stamp: Stamp
@@ -63,55 +63,57 @@
 
 
 class VersionStore:
-    """One instance's version in force, in one file.
+    """Stores the version in force on one instance, in one file.
 
-    The file is `thistleshore configuration FORMAT CHECKSUM`, a line feed, and MessagePack.  A file that was set back to
-    an older copy of itself cannot be told from a sound one: the instance then starts on the older version, and the
-    comparison with its relays brings it up again.
+    The file is `thistleshore configuration FORMAT CHECKSUM`, a line feed, and MessagePack.  A file restored
+    from an older copy cannot be detected: the instance then starts on the older version, and catches up through its
+    relays.
 
-    Two processes of a hot restart may write at the same time: each writes a temporary file of its own, and the rename
-    that comes last stays.
+    Two processes of a hot restart may write concurrently: each has its own temporary file, and the last rename wins.
     """
 
     def __init__(self, folder: Path, fleet: str) -> None:
         self.folder, self.fleet = folder, fleet
 
     def read(self) -> tuple[Stamp, bytes] | None:
-        """The stamp and the body, None where nothing was ever written; StoreError where they cannot be used."""
+        """Return the stamp and the body, or None if nothing was ever written.
+
+        Raises StoreError if they cannot be used.
+        """
         try:
-            data = _read_bounded(self.folder / VERSION_FILE, FILE_MOST)
+            data = _read_bounded(self.folder / VERSION_FILE, MAX_FILE_BYTES)
         except FileNotFoundError:
             return None
-        except OSError as problem:
-            raise Unreadable(f"the version in force cannot be read: {problem.strerror}") from None
+        except OSError as error:
+            raise Unreadable(f"the version in force cannot be read: {error.strerror}") from None
         saved = _decode(data)
         if saved.fleet != self.fleet:
             raise OtherFleet(f"the version in force is that of the fleet {saved.fleet!r}, not of {self.fleet!r}")
         if saved.stamp.format > FORMAT:
-            told = f"the body in force has format {saved.stamp.format}, and this program reads {FORMAT}"
-            raise NewerFormat(told)
+            message = f"the body in force has format {saved.stamp.format}, and this program reads {FORMAT}"
+            raise NewerFormat(message)
         if len(saved.body) != saved.stamp.size or digest_of(saved.body) != saved.stamp.digest:
             raise CorruptFile("the version in force is torn: its body is not that of its stamp")
         return saved.stamp, saved.body
 
     def write(self, stamp: Stamp, body: bytes) -> None:
-        """Durable once this returns; Unwritable where the disk takes nothing."""
+        """Write the version durably; raise Unwritable if that fails."""
         data = _encode(_Saved(self.fleet, stamp, body))
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             _replace(self.folder / VERSION_FILE, data)
-        except OSError as problem:
-            raise Unwritable(f"the disk takes nothing: {problem.strerror}") from None
+        except OSError as error:
+            raise Unwritable(f"the disk takes nothing: {error.strerror}") from None
 
 
 class FileBodyStore:
-    """The bodies that a voter keeps: files named by their digests, each checked against its name when it is read."""
+    """The bodies stored by a voter, in files named by digest and verified when read."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def read(self, digest: str) -> bytes | None:
-        """The body; None where there is none of that digest, or where it is not whole any more."""
+        """Return the body, or None if it is missing or corrupt."""
         if not _DIGEST.fullmatch(digest):
             return None
         try:
@@ -121,9 +123,9 @@
         return body if digest_of(body) == digest else None
 
     def keep(self, digest: str, body: bytes, named: Collection[str]) -> None:
-        """Durable once this returns; Unusable where it is not that body, or where the disk takes nothing.
+        """Store a body durably; raise Unusable if it does not match the digest or cannot be written.
 
-        Kept besides are the bodies that `named` has, and the MAX_UNREFERENCED_BODIES newest of the others.
+        Of the other bodies, those in `named` and the MAX_UNREFERENCED_BODIES newest of the rest are retained.
         """
         if len(body) > MAX_BODY_BYTES:
             raise Unusable(f"the body has over {MAX_BODY_BYTES} bytes")
@@ -135,13 +137,13 @@
                 _replace(self.folder / digest, body)
             else:
                 os.utime(self.folder / digest)
-                _sync_folder(self.folder)  # the process that renamed it may have died before it did so
-        except OSError as problem:
-            raise Unusable(f"its disk takes nothing: {problem.strerror}") from None
-        self._drop_others({digest, *named})
+                _fsync_folder(self.folder)  # the process that renamed the file may have died before syncing the folder
+        except OSError as error:
+            raise Unusable(f"its disk takes nothing: {error.strerror}") from None
+        self._remove_unreferenced({digest, *named})
 
-    def _drop_others(self, wanted: Collection[str]) -> None:
-        """Remove what is no longer wanted; what cannot be removed stays, and does no harm."""
+    def _remove_unreferenced(self, wanted: Collection[str]) -> None:
+        """Remove old unreferenced bodies; failures are ignored, as leftovers are harmless."""
         others: list[tuple[int, Path]] = []
         try:
             for path in self.folder.iterdir():
@@ -159,31 +161,31 @@
 
 
 def _decode(data: bytes) -> _Saved:
-    """What the file says, or CorruptFile or NewerFormat."""
+    """Decode the file; raise CorruptFile or NewerFormat if that fails."""
     head, _, content = data.partition(b"\n")
     file_format, _, checksum = head.removeprefix(_MAGIC).partition(b" ")
     if not head.startswith(_MAGIC) or not file_format.isdigit():
         raise CorruptFile("the version in force is torn: it does not begin as such a file does")
     if int(file_format[:9]) > FILE_FORMAT:
-        told = f"the version in force has format {int(file_format[:9])}, and this program reads {FILE_FORMAT}"
-        raise NewerFormat(told)
+        message = f"the version in force has format {int(file_format[:9])}, and this program reads {FILE_FORMAT}"
+        raise NewerFormat(message)
     if digest_of(content).encode() != checksum:
         raise CorruptFile("the version in force is torn: the checksum is wrong")
     try:
         return msgspec.msgpack.decode(content, type=_Saved)
-    except msgspec.MsgspecError as problem:
-        raise CorruptFile(f"the version in force is torn: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise CorruptFile(f"the version in force is torn: {error}") from None
 
 
-def _read_bounded(path: Path, most: int) -> bytes:
-    """The bytes of a file, and one more than `most` where it is longer: no check takes those for whole."""
+def _read_bounded(path: Path, max_bytes: int) -> bytes:
+    """Read at most `max_bytes` + 1 bytes of a file; the extra byte makes the checks of an oversized file fail."""
     with path.open("rb") as file:
-        return file.read(most + 1)
+        return file.read(max_bytes + 1)
 
 
 def _replace(path: Path, data: bytes) -> None:
-    """Put a file in its place, whole and durable; OSError leaves the one before."""
-    _remove_left_over(path.parent)
+    """Replace a file atomically and durably; on OSError the previous file is intact."""
+    _remove_stale_temporaries(path.parent)
     temporary = path.with_name(f"{path.name}.{os.getpid()}.{next(_writes)}.tmp")
     try:
         _write_synced(temporary, data)
@@ -191,21 +193,21 @@
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
-    _sync_folder(path.parent)
+    _fsync_folder(path.parent)
 
 
 def _write_synced(path: Path, data: bytes) -> None:
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
-        left = memoryview(data)
-        while left:
-            left = left[os.write(descriptor, left) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
 
 
-def _sync_folder(folder: Path) -> None:
+def _fsync_folder(folder: Path) -> None:
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -213,11 +215,11 @@
         os.close(descriptor)
 
 
-def _remove_left_over(folder: Path) -> None:
-    """Remove temporary files of processes that died long ago."""
+def _remove_stale_temporaries(folder: Path) -> None:
+    """Remove old temporary files left by processes that died."""
     for path in folder.glob("*.tmp"):
         try:
-            if time.time() - path.stat().st_mtime > TEMPORARY_KEPT:
+            if time.time() - path.stat().st_mtime > TEMPORARY_FILE_SECONDS:
                 path.unlink(missing_ok=True)
         except OSError:
             continue
