--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -216,7 +216,7 @@
     assert standings(at, "a", 8, 1e6, 40) == [False] * 4 + [True] * 4
     tally = SlidingCounter(10.0, 100.0)
     tally.add(3.0, 100.0)
-    assert tally.sum(50.0) == 3.0 and tally.sum(1e6) == 0.0
+    assert tally.sum_with_oldest(50.0) == 3.0 and tally.sum_with_oldest(1e6) == 0.0
 
 
 # -- purses
--- a/thistleshore/contracts/__init__.py
+++ b/thistleshore/contracts/__init__.py
@@ -1,4 +1,4 @@
-"""Agreements with members: shares held under a surge, the order of service, retry budgets, over several instances."""
+"""Agreements with members: guaranteed shares, the order of service and retry budgets, over several instances."""
 
 from thistleshore.contracts.ledger import Ledger
 from thistleshore.contracts.model import Agreements, ContractTerms, MemberTerms, Retries, ShareKey, Stamp
--- a/thistleshore/contracts/carrier.py
+++ b/thistleshore/contracts/carrier.py
@@ -1,4 +1,4 @@
-"""The datagrams between instances, on one UDP socket: sent by the clock, handed on as they come."""
+"""Datagrams between instances on one UDP socket: sent at a fixed interval, passed on as they arrive."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 class ExchangeLink:
     """One instance's socket.
 
-    `beat(now)` gives what to send, by number of the peer; `deliver(data)` takes what comes.
+    `datagrams_due(now)` returns what to send, with the number of the peer; `deliver(data)` takes each one received.
+    `interval`: seconds between two rounds of sending.
     """
 
     def __init__(
@@ -32,7 +33,7 @@
         self.counts: Counter[str] = Counter()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Send and receive until cancelled; a datagram that is cancelled was not sent."""
+        """Send and receive until cancelled; a datagram whose sending is cancelled was not sent."""
         family = trio.socket.AF_INET6 if ":" in self.listen[0] else trio.socket.AF_INET
         with trio.socket.socket(family, trio.socket.SOCK_DGRAM) as socket:
             await socket.bind(self.listen)
@@ -48,21 +49,21 @@
                 try:
                     await socket.sendto(data, self.peers[number])
                     self.counts["sent"] += 1
-                except OSError:  # its host is down, or no buffer is left: the next message says all again
+                except OSError:  # host down or no buffer space: the next message repeats the whole state
                     self.counts["unsent"] += 1
             await trio.sleep(self.interval)
 
     async def _receive(self, socket: trio.socket.SocketType) -> None:
         while True:
             try:
-                # One byte more than is allowed, so that what is longer is seen to be.
+                # One byte more than allowed, so that longer datagrams are detected.
                 data, sender = await socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # an ICMP answer to one of ours: that peer is down
+            except OSError:  # an ICMP error for a datagram sent earlier: that peer is down
                 self.counts["unreachable"] += 1
                 await trio.sleep(0)
                 continue
             if tuple(sender[:2]) not in self.peers:
-                # Whoever can reach the port could cede what nobody has, and let an instance pass its part.
+                # A forged lease would let an instance use more than its part of a guarantee.
                 self.counts["stranger_address"] += 1
                 continue
             self.counts["received"] += 1
--- a/thistleshore/contracts/contract_set.py
+++ b/thistleshore/contracts/contract_set.py
@@ -1,6 +1,6 @@
-"""Contracts between consumer teams and services, and their budgets, as the module's settings.
+"""Contracts between consumer teams and services, and their translation to the decision module's settings.
 
-Nothing is limited here: rates and attempts become figures of `Settings`, and the module keeps to them.
+Nothing is enforced here: rates and attempts become fields of `Settings`, and the module enforces them.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
     service: str
     job_class: str
     effect: Effect
-    deadline: float  # the team waits so long for the final answer
-    rate: float  # requests a second that are within the contract
-    attempts: int  # upstream requests of one stream at most
-    group: Group = Group.CELL  # for keyed: whose members drop each other's repeats
-    window: float = 0.0  # for keyed: how long they do
+    deadline: float  # how long the team waits for the final answer
+    rate: float  # requests per second within the contract
+    attempts: int  # maximum of upstream requests for one stream
+    group: Group = Group.CELL  # for keyed: the group whose members drop each other's repeats
+    window: float = 0.0  # for keyed: how long repeats are dropped
     aim: float = 1.0
     stretch: float = 0.0
     worth: float = 1.0
-    tube: str = ""  # where beanstalkd clients put its jobs
-    path: str = ""  # the prefix by which HTTP clients name it
-    name: str = ""  # what rules call it; "": by its class
+    tube: str = ""  # the tube in which beanstalkd clients put its jobs
+    path: str = ""  # the path prefix that HTTP clients use
+    name: str = ""  # its name in rules; "": its class
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Further upstream requests of all contracts together: in any `span` so many, plus a share of the streams."""
+    """Retry budget of all contracts together: in any `span` seconds `free` retries, plus `share` of the streams."""
 
     free: float
     share: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContractSet:
-    """All contracts of one dispatcher; a contract's place in it numbers its class and its tenant."""
+    """All contracts of one dispatcher; a contract's index is the number of its class and of its tenant."""
 
     contracts: tuple[Contract, ...]
     services: tuple[str, ...]
@@ -54,6 +54,7 @@
     cold_from: float = 1.0
 
     def settings(self) -> Settings:
+        """Return the settings of the decision module."""
         return Settings(
             balancers=self.balancers,
             zone=0,
@@ -78,6 +79,6 @@
             stretch=contract.stretch,
             give_up=contract.deadline,
             worth=contract.worth,
-            kinds=(self.services.index(contract.service),),  # a service's hosts are the module's machine kind
+            kinds=(self.services.index(contract.service),),  # the module treats a service's hosts as a kind of machine
             max_attempts=contract.attempts,
         )
--- a/thistleshore/contracts/model.py
+++ b/thistleshore/contracts/model.py
@@ -1,6 +1,6 @@
-"""Agreements between the consortium, its members and their contracts; records in and out of the ledger.
+"""Agreements with members about their contracts, and the records that go in and out of the ledger.
 
-Shares are by work.  Work is measured in slot-seconds: one slot of an upstream host, busy for one second.
+Shares are shares of work.  Work is measured in slot-seconds: one slot of an upstream host, busy for one second.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-OTHER_MEMBERS = ""  # the member of streams whose member the file does not name
+OTHER_MEMBERS = ""  # stands for all members that the file does not name
 
 
 @dataclass(frozen=True, slots=True)
 class Retries:
-    """What may go out beyond first tries, in any `span` seconds: `floor`, and `share` of the first tries."""
+    """Terms of a retry budget: in any `span` seconds `floor` retries, plus `share` of the first tries."""
 
     share: float = 0.2
     floor: float = 3.0
@@ -25,10 +25,10 @@
 class MemberTerms:
     """A member's agreement.
 
-    `share` of what the pool can do is guaranteed; `ceiling`, also a share of it, is never passed, however idle the
-    pool.  `burst` seconds of its share may come at once, or `jobs` of each of its contracts where that is more:
-    arrivals of a small member are uneven by chance alone.  `weights` part the share among its contracts, by name; a
-    contract that is not named weighs 1.
+    `share` of the pool's capacity is guaranteed; `ceiling`, also a share of the capacity, is never exceeded, even in an
+    idle pool.  `burst` seconds of its share may arrive at once, or `jobs` jobs of each contract if that is more, since
+    arrivals of a small member are uneven by chance.  `weights` divide the share among its contracts, by name; a
+    contract that is not named has weight 1.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContractTerms:
-    """What the ledger needs to know of a contract; times in seconds.  `run` is a first guess of a job's run time."""
+    """The part of a contract that the ledger uses; times in seconds.  `run`: initial estimate of a job's run time."""
 
     name: str
     service: int
@@ -53,50 +53,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Agreements:
-    """The whole tree: members with their shares, contracts, and the bounds on what waits."""
+    """All agreements: members with their shares, contracts, and the limits on waiting streams."""
 
     members: tuple[MemberTerms, ...]
     contracts: tuple[ContractTerms, ...]
     services: int = 1
     instances: int = 1  # that share the pool
-    max_waiting: int = 256  # streams that wait, in all
+    max_waiting: int = 256  # waiting streams in total
     max_waiting_bytes: int = 4 * 1024 * 1024
-    max_waiting_per_share: int = 64  # of one member under one contract
+    max_waiting_per_share: int = 64  # waiting streams of one member under one contract
 
     @property
     def share_keys(self) -> tuple[ShareKey, ...]:
-        """Every member under every contract, in an order that all instances share."""
+        """Every member under every contract, in the same order on all instances."""
         return tuple(ShareKey(m, c) for m in range(len(self.members)) for c in range(len(self.contracts)))
 
     @property
     def names(self) -> str:
-        """What the shares are called, in their order: instances that differ in it must not read each other's."""
+        """The names behind the shares, in order; instances that differ in it must not read each other's messages."""
         members, contracts = (in_order(terms) for terms in (self.members, self.contracts))
         return f"{members}|{contracts}"
 
     @property
     def scale(self) -> float:
-        """What shares are multiplied by: below 1 where they sum to more than the pool."""
+        """The factor on all shares: below 1 if they sum to more than the pool."""
         return min(1.0, 1.0 / max(1e-9, sum(member.share for member in self.members)))
 
 
 def in_order(terms: Sequence[MemberTerms] | Sequence[ContractTerms]) -> str:
-    """Names in the order in which they are numbered."""
+    """Return the names in the order of their numbers, joined by commas."""
     return ",".join(each.name for each in terms)
 
 
 class ShareKey(NamedTuple):
-    """A member under a contract: what shares are kept for.  Numbers are places in the agreements."""
+    """A member under a contract, as indexes into the agreements."""
 
     member: int
     contract: int
 
 
 class Stamp(NamedTuple):
-    """What a stream is told at intake, and keeps until its final answer.
+    """The standing of a stream, set at intake and kept until its final answer.
 
-    `rank` orders what waits, the lowest first: for what is within share the time by which it is wanted, for what is
-    beyond a fair-queueing tag.  `barred`: over its ceiling.
+    `rank` orders waiting streams, lowest first: the target time for a stream within share, a fair-queueing tag for one
+    beyond.  `barred`: its member is over its ceiling.
     """
 
     share: ShareKey
@@ -106,10 +106,10 @@
 
 
 class Offer(NamedTuple):
-    """A stream is handed to the decision module now.
+    """A stream to pass to the decision module now.
 
-    `spare` 0: there is no room for it to wait in, or its time to wait is over, or its member is over its ceiling; the
-    module refuses it at once, and says when to come back.
+    `spare` 0: too many streams wait, it has waited too long, or its member is over its ceiling; the module then refuses
+    it at once, with advice on when to retry.
     """
 
     stream: int
@@ -130,7 +130,7 @@
     refused: int
     failed: int
     retries_paid: int
-    budget_left: float  # further attempts that may go out now
-    allotment: float  # slots that are within share here, now
-    demand: float  # slots that are asked for here
+    budget_left: float  # retries that may be sent now
+    allotment: float  # slots guaranteed here now
+    demand: float  # slots requested here
     waiting: int
--- a/thistleshore/contracts/pool.py
+++ b/thistleshore/contracts/pool.py
@@ -1,4 +1,4 @@
-"""What a pool can do now, as the decision module knows its hosts: slots of each service, and those that are free."""
+"""The present capacity of a pool, from the decision module's records of hosts: slots and free slots by service."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from oxbowarch.records import Worker
 
 
-def _counted(workers: Iterable[Worker], services: int, now: float) -> list[Worker]:
-    """Hosts that are ready; one that is shunned can do nothing."""
+def _usable_workers(workers: Iterable[Worker], services: int, now: float) -> list[Worker]:
+    """Return the hosts that are ready and not shunned."""
     return [
         worker
         for worker in workers
@@ -18,17 +18,17 @@
 
 
 def slots(workers: Iterable[Worker], services: int, now: float) -> list[float]:
-    """Slots by service, as far as seen; 0 where nothing is known."""
-    found = [0.0] * services
-    for worker in _counted(workers, services, now):
-        found[worker.entry.kind] += max(worker.slots, float(worker.outstanding))
-    return found
+    """Return the known slots by service; 0 where nothing is known."""
+    slots_by_service = [0.0] * services
+    for worker in _usable_workers(workers, services, now):
+        slots_by_service[worker.entry.kind] += max(worker.slots, float(worker.outstanding))
+    return slots_by_service
 
 
 def free_slots(workers: Iterable[Worker], services: int, now: float) -> list[float]:
-    """Those of the slots that are free, as far as reports and own attempts tell; less than 0 where attempts wait."""
-    found = [0.0] * services
-    for worker in _counted(workers, services, now):
-        held = min(worker.slots, worker.reported_free) if now < worker.report_until else worker.slots
-        found[worker.entry.kind] += held - worker.outstanding
-    return found
+    """Return the free slots by service, from reports and own attempts; negative where attempts queue at hosts."""
+    slots_by_service = [0.0] * services
+    for worker in _usable_workers(workers, services, now):
+        free = min(worker.slots, worker.reported_free) if now < worker.report_until else worker.slots
+        slots_by_service[worker.entry.kind] += free - worker.outstanding
+    return slots_by_service
--- a/thistleshore/contracts/retry_budget.py
+++ b/thistleshore/contracts/retry_budget.py
@@ -1,22 +1,22 @@
-"""Retry budgets: what pays for attempts and repeats beyond first tries."""
+"""Retry budgets, which pay for attempts and repeats beyond first tries."""
 
 from __future__ import annotations
 
 from thistleshore.contracts.model import Retries
 
-PARTS = 10  # of a span: a sum over parts forgets a part at a time, never the whole
+PARTS = 10  # of a span; counts expire one part at a time, never all at once
 
 
 class SlidingCounter:
-    """Counts within the last span, forgotten a tenth at a time; what is forgotten late errs to the strict side."""
+    """Counts within the last `span` seconds, expiring a tenth at a time; late expiry makes a budget stricter."""
 
     __slots__ = ("_at", "_counts", "_step")
 
     def __init__(self, span: float, now: float) -> None:
         self._step, self._counts, self._at = span / PARTS, [0.0] * (PARTS + 1), now
 
-    def _turn(self, now: float) -> None:
-        # A clock that jumps far ahead forgets all, once; one that jumps back forgets nothing.
+    def _expire(self, now: float) -> None:
+        # A clock that jumps far ahead expires everything once; one that jumps back expires nothing.
         steps = int((now - self._at) / self._step) if now > self._at else 0
         if steps > PARTS:
             self._counts, self._at = [0.0] * (PARTS + 1), now
@@ -26,41 +26,46 @@
         self._at += steps * self._step
 
     def add(self, amount: float, now: float) -> None:
-        self._turn(now)
+        """Add to the present part; it does not fall below 0."""
+        self._expire(now)
         self._counts[0] = max(0.0, self._counts[0] + amount)
 
-    def sum(self, now: float) -> float:
-        self._turn(now)
+    def sum_with_oldest(self, now: float) -> float:
+        """Return the count, including the oldest part, which may reach beyond the span."""
+        self._expire(now)
         return sum(self._counts)
 
-    def whole(self, now: float) -> float:
-        """Without the oldest part, which may reach behind the span: for what earns."""
-        self._turn(now)
+    def sum_within_span(self, now: float) -> float:
+        """Return the count without the oldest part; used for what earns, so that the budget is never too large."""
+        self._expire(now)
         return sum(self._counts[:-1])
 
 
 class RetryBudget:
-    """One budget: first tries earn, further ones pay."""
+    """One budget: first tries earn, retries pay."""
 
     __slots__ = ("earned", "paid", "spent", "terms")
 
     def __init__(self, terms: Retries, now: float) -> None:
         self.terms = terms
         self.earned, self.paid = SlidingCounter(terms.span, now), SlidingCounter(terms.span, now)
-        self.spent = 0  # since the start
+        self.spent = 0  # retries paid since the start
 
     def earn(self, now: float) -> None:
+        """Count a first try."""
         self.earned.add(1.0, now)
 
     def left(self, now: float) -> float:
-        """Further attempts that may go out now; never below 0."""
-        granted = self.terms.floor + self.terms.share * self.earned.whole(now)
-        return max(0.0, granted - self.paid.sum(now))
+        """Return how many retries may be sent now; never below 0."""
+        granted = self.terms.floor + self.terms.share * self.earned.sum_within_span(now)
+        return max(0.0, granted - self.paid.sum_with_oldest(now))
 
 
 class CombinedRetryBudget:
-    """What pays for a stream's further attempts: the budget of its share and that of its member.  Both must have it, so
-    that one contract cannot spend all that its member has, and no member what is another's."""
+    """The budgets that pay for a stream's retries: that of its share and that of its member.
+
+    Both must have a retry left, so that one contract cannot spend its member's whole budget, nor a member another's.
+    """
 
     __slots__ = ("budgets",)
 
@@ -68,15 +73,17 @@
         self.budgets = budgets
 
     def left(self, now: float) -> float:
+        """Return how many retries all budgets allow now."""
         return min(budget.left(now) for budget in self.budgets)
 
     def pay(self, now: float) -> None:
+        """Take one retry from each budget."""
         for budget in self.budgets:
             budget.paid.add(1.0, now)
             budget.spent += 1
 
     def give_back(self, now: float) -> None:
-        """An attempt that was paid for was never sent."""
+        """Return one retry to each budget: an attempt that was paid for was never sent."""
         for budget in self.budgets:
             budget.paid.add(-1.0, now)
             budget.spent -= 1
--- a/thistleshore/contracts/sharing.py
+++ b/thistleshore/contracts/sharing.py
@@ -6,38 +6,38 @@
 
 
 def share_max_min(room: float, demands: Sequence[float], weights: Sequence[float]) -> list[float]:
-    """How much each gets of the room: nobody more than asked for, and what is left by weight.
+    """Divide `room` among demands by weighted max-min fairness; no part exceeds its demand.
 
-    Weighted max-min: no part can grow without one that is smaller by weight shrinking.  Parts sum to the room, or to
-    all demands where these are less.
+    No part can grow unless one that is smaller relative to its weight shrinks.  Parts sum to the room, or to all
+    demands if these are less.
     """
-    # Weights matter only among themselves: as small as floats can be, they would make the level infinite.
-    most = max(weights, default=0.0)
-    weights = [weight / most for weight in weights] if most > 0.0 else weights
+    # Only the ratios of weights matter; normalize them, because denormal weights would make the level infinite.
+    max_weight = max(weights, default=0.0)
+    weights = [weight / max_weight for weight in weights] if max_weight > 0.0 else weights
     parts = [0.0] * len(demands)
-    asking = [n for n in range(len(demands)) if demands[n] > 0.0 and weights[n] > 0.0]
-    # Who is content with the least by weight is filled first; the level rises for the others.
-    asking.sort(key=lambda n: demands[n] / weights[n])
-    heavy = sum(weights[n] for n in asking)
-    for n in asking:
-        level = max(0.0, room) / heavy if heavy > 0.0 else 0.0
+    unmet = [n for n in range(len(demands)) if demands[n] > 0.0 and weights[n] > 0.0]
+    # The smallest demand relative to its weight is met first; the level rises for the others.
+    unmet.sort(key=lambda n: demands[n] / weights[n])
+    total_weight = sum(weights[n] for n in unmet)
+    for n in unmet:
+        level = max(0.0, room) / total_weight if total_weight > 0.0 else 0.0
         parts[n] = min(demands[n], level * weights[n])
         room -= parts[n]
-        heavy -= weights[n]
+        total_weight -= weights[n]
     return parts
 
 
 def lend(room: float, guarantees: Sequence[float], demands: Sequence[float], ceilings: Sequence[float]) -> list[float]:
-    """Allotments where each has a guarantee: first that, as far as asked for, then what is unused, by guarantee.
+    """Return allotments: first each guarantee, up to the demand, then what is unused, weighted by guarantee.
 
-    A guarantee of 0 weighs a little, so that idle room reaches it too.
+    A guarantee of 0 has a small weight, so that idle capacity reaches it too.
     """
-    wanted = [min(demand, ceiling) for demand, ceiling in zip(demands, ceilings, strict=True)]
-    first = [min(guarantee, want) for guarantee, want in zip(guarantees, wanted, strict=True)]
-    least = 0.01 * max((guarantee for guarantee in guarantees if guarantee > 0.0), default=1.0)
-    more = share_max_min(
-        room - sum(first),
-        [want - part for want, part in zip(wanted, first, strict=True)],
-        [max(guarantee, least) for guarantee in guarantees],
+    capped_demands = [min(demand, ceiling) for demand, ceiling in zip(demands, ceilings, strict=True)]
+    guaranteed_parts = [min(guarantee, want) for guarantee, want in zip(guarantees, capped_demands, strict=True)]
+    min_weight = 0.01 * max((guarantee for guarantee in guarantees if guarantee > 0.0), default=1.0)
+    extra = share_max_min(
+        room - sum(guaranteed_parts),
+        [want - part for want, part in zip(capped_demands, guaranteed_parts, strict=True)],
+        [max(guarantee, min_weight) for guarantee in guarantees],
     )
-    return [a + b for a, b in zip(first, more, strict=True)]
+    return [a + b for a, b in zip(guaranteed_parts, extra, strict=True)]
--- a/thistleshore/routing/__init__.py
+++ b/thistleshore/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which contract, member and key a stream gets: the operator's rules, tied to the contracts that they name."""
+"""Routing: the operator's rules assign a contract, a member and a key to each stream."""
 
 from thistleshore.routing.table import ActiveRouteTable, RouteDecision, RouteTable, RouteTableError, Terms
 
--- a/thistleshore/routing/table.py
+++ b/thistleshore/routing/table.py
@@ -1,7 +1,7 @@
-"""The route table: rules of the operator's file first, then the `path` and `tube` keys of the contracts.
+"""The route table: the rules of the operator's file first, then the `path` and `tube` keys of the contracts.
 
-No wire, no file, no clock: requests in, what they are routed to out.  A table never changes; `Live` holds the one in
-force, and swapping it is one assignment, so that no stream is routed by parts of two.
+Pure: no wire, file or clock.  A table is immutable; `ActiveRouteTable` holds the one in force and replaces it by one
+assignment, so that no stream is routed by parts of two tables.
 """
 
 from __future__ import annotations
@@ -19,48 +19,48 @@
 from thistleshore.expressions.types import Str
 
 KINDS = (Kind("contract"), Kind("class"), Kind("member"), Kind("key", KEY_TYPES))
-CONTRACT, CLASS, MEMBER, KEY = range(1, 5)  # places in what a set of rules decides; 0 is the rule's number
+CONTRACT, CLASS, MEMBER, KEY = range(1, 5)  # indexes into the result of a rule set; index 0 is the number of the rule
 
 
 class Terms(NamedTuple):
-    """What a table needs to know of a contract, whose number is its place in the file."""
+    """The part of a contract that a table uses; a contract's number is its index in the file."""
 
     name: str
     job_class: str
     team: str
-    deadline: float  # s
+    deadline: float  # seconds
     path: str = ""
     tube: str = ""
 
 
 class RouteDecision(NamedTuple):
-    """What a stream was given at intake.  It keeps it, whatever table comes later."""
+    """The route of a stream, decided at intake; later tables do not change it."""
 
     contract: int
-    deadline: float  # s that its client waits
+    deadline: float  # seconds for which the client waits
     member: str = ""
     key: int = 0  # 0: none
     rule: str = ""
 
 
 class RouteTableError(ValueError):
-    """All that is wrong with a table's rules."""
+    """All problems of a table's rules."""
 
     def __init__(self, problems: Sequence[ExpressionError]) -> None:
         super().__init__("\n".join(map(str, problems)))
         self.problems = tuple(problems)
 
 
-def key_number(found: str | int | None) -> int:
-    """A key as the module's number for it; 0: none.  A text is hashed, an int taken as it is."""
-    if isinstance(found, int):
-        return found % 2**64
-    return (hash64(found) or 1) if found else 0
+def key_number(key: str | int | None) -> int:
+    """Return the decision module's number for a key, 0 for none; a text is hashed, an int taken modulo 2^64."""
+    if isinstance(key, int):
+        return key % 2**64
+    return (hash64(key) or 1) if key else 0
 
 
 @dataclass(frozen=True, slots=True)
 class _Classes:
-    """Contracts by class, where several teams have it by class and member."""
+    """Contracts by class, or by class and member for classes of several teams."""
 
     by_class: Mapping[str, tuple[int, ...]]
     by_team: Mapping[tuple[str, str], int]
@@ -71,7 +71,7 @@
 
 
 class RouteTable:
-    """Rules tied to contracts; TableError where they are not sound, or name what is not there."""
+    """Rules bound to contracts; raises RouteTableError if rules are invalid or name unknown contracts or classes."""
 
     def __init__(
         self, contracts: Sequence[Terms], rules: Sequence[Rule], environment: Environment, limits: Limits | None = None
@@ -89,16 +89,16 @@
         self._plain_contracts, plain = _plain_rules(contracts)
         try:
             self.rules = RuleSet((*rules, *plain), KINDS, environment, limits)
-            # A rule that names no contract leaves that to the paths and tubes.
+            # Used after a rule that decides no contract and no class.
             self.plain = RuleSet(plain, KINDS, environment, limits, "paths and tubes")
-        except RuleErrors as problems:
-            raise RouteTableError(problems.problems) from None
-        if found := [problem for n in range(len(rules)) for problem in self._unknown(n)]:
-            raise RouteTableError(found)
+        except RuleErrors as errors:
+            raise RouteTableError(errors.problems) from None
+        if problems := [problem for n in range(len(rules)) for problem in self._rule_problems(n)]:
+            raise RouteTableError(problems)
         self.fields = self.rules.compiled.fields
 
-    def _unknown(self, number: int) -> list[ExpressionError]:
-        """Contracts and classes that a rule may name and that are not there."""
+    def _rule_problems(self, number: int) -> list[ExpressionError]:
+        """Return the problems with the contracts and classes that a rule may name."""
         rule, checked = self.rules.rules[number], self.rules.checked[number]
         contract, job_class, member, _ = checked.values
         if contract is not None and job_class is not None:
@@ -108,10 +108,10 @@
                 )
             ]
         if contract is not None:
-            return self._names_unknown(rule.values["contract"], contract, self.names, "contract")
+            return self._name_problems(rule.values["contract"], contract, self.names, "contract")
         if job_class is None:
             return []
-        problems = self._names_unknown(rule.values["class"], job_class, self._classes.by_class, "class")
+        problems = self._name_problems(rule.values["class"], job_class, self._classes.by_class, "class")
         if not problems and member is None:
             assert isinstance(job_class.type, Str)
             for name in sorted(job_class.type.values or ()):
@@ -122,7 +122,7 @@
         return problems
 
     @staticmethod
-    def _names_unknown(source: Source, node: Node, known: Mapping[str, Any], what: str) -> list[ExpressionError]:
+    def _name_problems(source: Source, node: Node, known: Mapping[str, Any], what: str) -> list[ExpressionError]:
         assert isinstance(node.type, Str)
         if node.type.values is None:
             hint = (
@@ -149,37 +149,37 @@
 
     @property
     def units(self) -> int:
-        """The most units that routing one request can cost."""
+        """The maximum cost of routing one request, in units of the expression evaluator."""
         return self.rules.units + self.plain.units
 
     def route(self, request: Request) -> RouteDecision | None:
-        """What the first rule that fits says, or None where none fits or names a contract."""
-        found = self.rules.decide(request)
-        return None if found is None else self._tied(found, request)
+        """Return the route by the first matching rule; None if no rule matches or no contract results."""
+        decided = self.rules.decide(request)
+        return None if decided is None else self._bind(decided, request)
 
-    def _tied(self, found: tuple[Any, ...], request: Request) -> RouteDecision | None:
-        name, member = found[CONTRACT], found[MEMBER] or ""
+    def _bind(self, decided: tuple[Any, ...], request: Request) -> RouteDecision | None:
+        name, member = decided[CONTRACT], decided[MEMBER] or ""
         number: int | None
         if name is not None:
             number = self.names[name][0]
-        elif found[CLASS] is not None:
-            number = self._classes.find(found[CLASS], member)
+        elif decided[CLASS] is not None:
+            number = self._classes.find(decided[CLASS], member)
         else:
             plain = self.plain.decide(request)
             number = None if plain is None else self._plain_contracts[plain[0]]
         if number is None:
             return None
         return RouteDecision(
-            number, self.contracts[number].deadline, member, key_number(found[KEY]), self.rules.rules[found[0]].name
+            number, self.contracts[number].deadline, member, key_number(decided[KEY]), self.rules.rules[decided[0]].name
         )
 
     def explain(self, request: Request) -> tuple[list[Looked], RouteDecision | None]:
-        """Each rule up to the one that decides, and what comes of it."""
+        """Return the evaluation of each rule up to the deciding one, and the route."""
         return self.rules.explain(request.read), self.route(request)
 
 
 def _plain_rules(contracts: Sequence[Terms]) -> tuple[list[int], list[Rule]]:
-    """The `path` and `tube` keys as rules, and whose each is; the longest path is asked first."""
+    """Return the `path` and `tube` keys as rules, longest path first, and the contract number of each rule."""
     numbers: list[int] = []
     rules: list[Rule] = []
 
@@ -198,11 +198,11 @@
 
 
 class ActiveRouteTable:
-    """The table in force; whoever routes a request reads it once."""
+    """Holds the table in force; each routing of a request reads it once."""
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
 
     def swap(self, table: RouteTable) -> None:
-        """Put another in force, for streams that come from now on."""
+        """Replace the table, for streams that arrive from now on."""
         self.table = table
