--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,4 @@
-"""Agreements: sharing, the ledger, retry purses, leases between instances, and what the module makes of them."""
+"""Agreements: max-min sharing, the ledger, retry budgets, leases between instances, and their use by the module."""
 
 from __future__ import annotations
 
@@ -30,46 +30,46 @@
 
 FRONTS = pytest.mark.parametrize("world", [Http, Beanstalkd])
 SUPPLIED = ROOT / "deploy" / "consortium.toml"
-ONE = (ContractTerms("search", 0, 0.4, 2.5, 1.0),)
-NONE = Retries(0.0, 0.0)
+ONE_CONTRACT = (ContractTerms("search", 0, 0.4, 2.5, 1.0),)
+NO_RETRIES = Retries(0.0, 0.0)
 
 
-def ledger(*members: MemberTerms, slots: float = 10.0, contracts: Any = ONE, free: float = inf, **more: Any) -> Ledger:
+def ledger(
+    *members: MemberTerms, slots: float = 10.0, contracts: Any = ONE_CONTRACT, free: float = inf, **more: Any
+) -> Ledger:
     agreements = Agreements(members, contracts, **more)
     return Ledger(agreements, 0.0, lambda: [slots], lambda: [slots if free is inf else free])
 
 
-def standings(at: Ledger, member: str, count: int, now: float, first: int = 1) -> list[bool]:
-    """Which of so many streams, that all come now, are beyond share."""
+def open_streams_beyond_share(at: Ledger, member: str, count: int, now: float, first: int = 1) -> list[bool]:
+    """Open `count` streams now; return for each whether it is beyond share."""
     return [at.on_open(first + n, 0, member, 10, False, now)[0].beyond for n in range(count)]
 
 
-# -- water-filling
+# -- max-min sharing
 
 SHARES = st.lists(st.tuples(st.floats(0, 50), st.floats(0.01, 9)), min_size=1, max_size=8)
 
 
 @steady
 @given(st.floats(0, 100), SHARES)
-def test_room_is_shared_out_whole_and_nobody_gets_more_than_asked_for(
-    room: float, asked: list[tuple[float, float]]
-) -> None:
+def test_max_min_shares_all_room_and_no_part_exceeds_its_demand(room: float, asked: list[tuple[float, float]]) -> None:
     demands, weights = [d for d, _ in asked], [w for _, w in asked]
     parts = share_max_min(room, demands, weights)
     assert all(0.0 <= part <= demand + 1e-9 for part, demand in zip(parts, demands, strict=True))
     assert sum(parts) == pytest.approx(min(room, sum(demands)), abs=1e-6)
-    # Max-min: who got less than asked for has, by weight, no less than anybody.
+    # Max-min: a part below its demand is, relative to its weight, at least as large as any other.
     level = [part / weight for part, weight in zip(parts, weights, strict=True)]
     short = [n for n in range(len(parts)) if parts[n] < demands[n] - 1e-6]
     assert all(level[n] >= max(level) - 1e-6 for n in short)
 
 
-def test_weights_as_small_as_floats_can_be() -> None:
+def test_denormal_weights() -> None:
     assert share_max_min(0.002, [0.5, 0.5], [2e-311, 2e-311]) == pytest.approx([0.001, 0.001])
     assert lend(0.002, [4e-314], [0.17], [inf]) == pytest.approx([0.002])
 
 
-def test_unused_share_is_lent_by_weight_and_ceilings_hold() -> None:
+def test_unused_guarantee_is_lent_by_weight_below_ceilings() -> None:
     assert lend(10, [5, 3, 2], [0, 9, 9], [inf] * 3) == pytest.approx([0, 6, 4])
     assert lend(10, [5, 3, 2], [9, 9, 9], [inf] * 3) == pytest.approx([5, 3, 2])
     assert lend(10, [5, 3, 2], [0, 9, 9], [inf, 4, inf]) == pytest.approx([0, 4, 6])
@@ -79,29 +79,29 @@
 # -- the ledger
 
 
-def test_a_surge_is_beyond_share_and_its_neighbours_are_not() -> None:
+def test_surge_is_beyond_share_and_other_members_stay_within() -> None:
     at = ledger(MemberTerms("a", 0.5, jobs=4), MemberTerms("b", 0.5, jobs=4))
-    assert standings(at, "a", 12, 1.0) == [False] * 4 + [True] * 8  # the bucket holds 4 jobs
-    assert standings(at, "b", 3, 1.0, 50) == [False] * 3
-    assert standings(at, "a", 1, 3.0, 90) == [False]  # its bucket has filled again
+    assert open_streams_beyond_share(at, "a", 12, 1.0) == [False] * 4 + [True] * 8  # the bucket holds 4 jobs
+    assert open_streams_beyond_share(at, "b", 3, 1.0, 50) == [False] * 3
+    assert open_streams_beyond_share(at, "a", 1, 3.0, 90) == [False]  # its bucket has been refilled
 
 
-def test_shares_over_the_whole_are_scaled_and_a_member_without_an_agreement_is_beyond() -> None:
+def test_shares_above_one_are_scaled_and_member_without_agreement_is_beyond() -> None:
     at = ledger(MemberTerms("a", 0.9), MemberTerms("b", 0.9))
     assert [row.guaranteed for row in at.tree(1.0)] == pytest.approx([5.0, 5.0])
-    assert standings(at, "stranger", 2, 1.0) == [True, True]
+    assert open_streams_beyond_share(at, "stranger", 2, 1.0) == [True, True]
     named = ledger(MemberTerms("a", 0.9), MemberTerms(OTHER_MEMBERS, 0.1))
-    assert standings(named, "stranger", 1, 1.0) == [False]
-    assert standings(ledger(MemberTerms("a", 0.0)), "a", 2, 1.0) == [True, True]
+    assert open_streams_beyond_share(named, "stranger", 1, 1.0) == [False]
+    assert open_streams_beyond_share(ledger(MemberTerms("a", 0.0)), "a", 2, 1.0) == [True, True]
 
 
-def test_a_pool_of_which_nothing_is_known_yet_is_left_to_the_module() -> None:
+def test_streams_are_offered_at_once_while_capacity_is_unknown() -> None:
     at = ledger(MemberTerms("a", 0.0), slots=0.0, free=0.0)
-    standings(at, "stranger", 3, 0.0)
+    open_streams_beyond_share(at, "stranger", 3, 0.0)
     assert [(offer.stream, offer.spare) for offer in at.due(0.0)] == [(1, 1.0), (2, 1.0), (3, 1.0)] and at.waiting == 0
 
 
-def test_share_is_kept_by_work_and_a_giant_is_settled_when_it_ends() -> None:
+def test_shares_count_work_and_long_jobs_are_charged_when_they_end() -> None:
     at = ledger(MemberTerms("heavy", 0.5, jobs=6), MemberTerms("light", 0.5, jobs=6))
     for n in range(40):  # the same count, twenty times the work
         for base, name, run in ((1000, "heavy", 2.0), (2000, "light", 0.1)):
@@ -116,7 +116,7 @@
     assert at.open == 0
 
 
-def test_a_tiny_contract_lives_beside_a_huge_one_of_its_member() -> None:
+def test_small_contract_stays_within_share_beside_large_one_of_same_member() -> None:
     both = (ContractTerms("huge", 0, 0.4, run=1.0), ContractTerms("tiny", 0, 0.4, run=1.0))
     at = ledger(MemberTerms("a", 1.0, jobs=3), contracts=both)
     number = 0
@@ -129,14 +129,17 @@
             assert not at.on_open(number, 1, "a", 1, False, step * 0.1)[0].beyond
 
 
-def test_what_is_beyond_waits_for_room_that_nobody_within_wants() -> None:
+def test_streams_beyond_share_wait_for_slots_that_no_stream_within_needs() -> None:
     free = [0.0]
     at = Ledger(
-        Agreements((MemberTerms("a", 0.1, jobs=1), MemberTerms("b", 0.9)), ONE), 0.0, lambda: [10.0], lambda: free
+        Agreements((MemberTerms("a", 0.1, jobs=1), MemberTerms("b", 0.9)), ONE_CONTRACT),
+        0.0,
+        lambda: [10.0],
+        lambda: free,
     )
-    standings(at, "a", 4, 1.0)
+    open_streams_beyond_share(at, "a", 4, 1.0)
     assert [offer.stream for offer in at.due(1.0)] == [1] and at.waiting == 3
-    free[0] = 2.5  # one of them is kept back, and one is wanted by stream 1, which has not gone out yet
+    free[0] = 2.5  # one is reserved, and one is needed by stream 1, which is not sent yet
     assert at.due(1.1) == []
     at.on_sent(1, 1.1)
     assert [offer.stream for offer in at.due(1.2)] == [2]
@@ -144,12 +147,17 @@
     assert [offer.stream for offer in at.due(1.2)] == [9]
     free[0] = 3.5
     assert [offer.stream for offer in at.due(1.3)] == [3]
-    assert [(offer.stream, offer.spare) for offer in at.due(1.41)] == [(4, 0.0)]  # its aim is over: the module refuses
+    assert [(offer.stream, offer.spare) for offer in at.due(1.41)] == [
+        (4, 0.0)
+    ]  # it has waited for its aim: the module refuses it
 
 
-def test_what_is_lent_goes_by_weight_and_unpaid_repeats_go_last() -> None:
+def test_lent_slots_follow_weights_and_unpaid_repeats_are_last() -> None:
     free = [0.0]
-    members = (MemberTerms("big", 0.3, jobs=1, burst=0.01), MemberTerms("small", 0.1, jobs=1, burst=0.01, retries=NONE))
+    members = (
+        MemberTerms("big", 0.3, jobs=1, burst=0.01),
+        MemberTerms("small", 0.1, jobs=1, burst=0.01, retries=NO_RETRIES),
+    )
     at = Ledger(Agreements(members, (ContractTerms("c", 0, 9.0, run=1.0),)), 0.0, lambda: [10.0], lambda: free)
     for n in range(2):  # the buckets are emptied first
         at.on_open(900 + n, 0, members[n].name, 1, False, 0.0)
@@ -167,72 +175,72 @@
     assert sum(stream < 100 for stream in order[:8]) in (6, 7) and order[-1] == 500  # three to one
 
 
-def test_bounds_hold_and_whoever_is_over_longest_gives_way() -> None:
+def test_waiting_limits_shed_the_member_that_is_longest_beyond_share() -> None:
     at = ledger(
         MemberTerms("a", 0.1, jobs=1), MemberTerms("b", 0.1, jobs=1), free=0.0, max_waiting=6, max_waiting_per_share=5
     )
-    standings(at, "a", 5, 1.0, 10)
-    standings(at, "b", 3, 1.1, 20)
+    open_streams_beyond_share(at, "a", 5, 1.0, 10)
+    open_streams_beyond_share(at, "b", 3, 1.1, 20)
     assert [(offer.stream, offer.spare) for offer in at.due(1.1)] == [(10, 1.0), (20, 1.0)] and at.waiting == 6
-    standings(at, "b", 2, 1.1, 30)
+    open_streams_beyond_share(at, "b", 2, 1.1, 30)
     assert at.due(1.1) == [(14, 0.0), (13, 0.0)]
     small = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, max_waiting_bytes=25)
-    standings(small, "a", 4, 1.0)
+    open_streams_beyond_share(small, "a", 4, 1.0)
     assert Counter(offer.spare for offer in small.due(1.0)) == {1.0: 1, 0.0: 1}
     each = ledger(MemberTerms("a", 0.1, jobs=1), free=0.0, max_waiting_per_share=2)
-    standings(each, "a", 5, 1.0)
+    open_streams_beyond_share(each, "a", 5, 1.0)
     each.due(1.0)
     assert each.waiting == 2
 
 
-def test_a_ceiling_is_never_passed_however_idle_the_pool() -> None:
+def test_ceiling_holds_in_an_idle_pool() -> None:
     at = ledger(MemberTerms("a", 0.1, ceiling=0.2, burst=1.0))
     found = [at.on_open(n, 0, "a", 1, False, 1.0)[0] for n in range(5)]
     assert [stamp.barred for stamp in found] == [False, False, True, True, True]
     assert [offer.spare for offer in at.due(1.0)][-3:] == [0.0] * 3
 
 
-def test_a_reload_keeps_what_goes_on_and_a_member_that_vanishes_drains() -> None:
+def test_reload_keeps_state_and_removed_member_drains() -> None:
     at = ledger(MemberTerms("a", 0.5, jobs=2), MemberTerms("b", 0.5, jobs=2), free=0.0)
-    standings(at, "a", 6, 1.0)
+    open_streams_beyond_share(at, "a", 6, 1.0)
     at.due(1.0)
     at.adopt(replace(at.agreements, members=(MemberTerms("b", 0.2), MemberTerms("a", 0.8, jobs=2))), 1.0)
-    assert standings(at, "a", 1, 1.0, 50) == [True]  # its bucket is as empty as it was
+    assert open_streams_beyond_share(at, "a", 1, 1.0, 50) == [True]  # its bucket is as empty as it was
     assert {row.member: row.offered for row in at.figures(1.0)} == {"a": 7}
     at.adopt(replace(at.agreements, members=(MemberTerms("b", 1.0),)), 1.0)
     at.on_sent(1, 1.1)
     at.on_attempt_ended(1, 0.5, 1.6)
     at.on_answered(1, "served", 1.6)
     at.on_forgotten(1)
-    assert standings(at, "a", 1, 1.7, 60) == [True] and at.open == 7
-    # What waited under the agreement that is gone is handed over in time, like any other.
+    assert open_streams_beyond_share(at, "a", 1, 1.7, 60) == [True] and at.open == 7
+    # Streams that wait under the removed agreement are offered in time, like any other.
     assert {offer.stream for offer in at.due(1.7)} == {4, 5, 6, 50} and at.waiting == 1
 
 
-def test_a_clock_that_jumps_gives_nothing_and_takes_nothing() -> None:
+def test_clock_jump_adds_at_most_one_burst() -> None:
     at = ledger(MemberTerms("a", 0.5, jobs=4))
-    standings(at, "a", 9, 100.0)
-    assert standings(at, "a", 2, 40.0, 20) == [True, True]
-    assert standings(at, "a", 8, 1e6, 40) == [False] * 4 + [True] * 4
+    open_streams_beyond_share(at, "a", 9, 100.0)
+    assert open_streams_beyond_share(at, "a", 2, 40.0, 20) == [True, True]
+    assert open_streams_beyond_share(at, "a", 8, 1e6, 40) == [False] * 4 + [True] * 4
     tally = SlidingCounter(10.0, 100.0)
     tally.add(3.0, 100.0)
     assert tally.sum_with_oldest(50.0) == 3.0 and tally.sum_with_oldest(1e6) == 0.0
 
 
-# -- purses
+# -- retry budgets
 
 
-def test_a_purse_is_earned_by_first_tries_and_drained_for_its_own_member_alone() -> None:
+def test_retry_budget_grows_with_first_tries_and_belongs_to_one_member() -> None:
     at = ledger(MemberTerms("a", 0.5, retries=Retries(0.5, 2.0)), MemberTerms("b", 0.5, retries=Retries(0.5, 2.0)))
     (_, ours), (_, theirs) = at.on_open(1, 0, "a", 1, False, 0.0), at.on_open(2, 0, "b", 1, False, 0.0)
     for _ in range(2):
         ours.pay(0.0)
     assert ours.left(0.0) < 1.0 and theirs.left(0.0) >= 2.0
-    assert at.on_open(3, 0, "a", 1, True, 0.1)[0].beyond  # a marked repeat that nothing pays for is served last
+    assert at.on_open(3, 0, "a", 1, True, 0.1)[0].beyond  # a marked repeat beyond the budget is served last
     for n in range(4, 8):
         at.on_open(n, 0, "a", 1, False, 0.2)
     assert ours.left(0.2) >= 2.0 and not at.on_open(9, 0, "a", 1, True, 0.2)[0].beyond
-    assert ours.left(11.0) == 2.0  # the span is over: the floor is there anew
+    assert ours.left(11.0) == 2.0  # after the span only the floor is left
 
 
 @steady
@@ -263,10 +271,8 @@
     ("job_class", "status", "end"),
     [(0, Status.ERROR, Refuse), (1, Status.CONNECT_FAILED, Refuse), (1, Status.RESET, Fail)],
 )
-def test_a_budget_that_runs_out_before_a_retry_gives_one_answer_at_once(
-    job_class: int, status: Status, end: type
-) -> None:
-    brain, retry_budget = module(), CombinedRetryBudget(RetryBudget(NONE, 0.0))
+def test_exhausted_retry_budget_gives_one_immediate_answer(job_class: int, status: Status, end: type) -> None:
+    brain, retry_budget = module(), CombinedRetryBudget(RetryBudget(NO_RETRIES, 0.0))
     (send,) = [
         a
         for a in brain.on_request(Request(1, job_class, 5.0, beyond=False, retry_budget=retry_budget), 0.0)
@@ -278,7 +284,7 @@
     assert 1 not in brain.jobs
 
 
-def test_the_module_pays_for_further_attempts_and_takes_back_what_was_never_sent() -> None:
+def test_module_pays_for_retries_and_gets_unsent_ones_back() -> None:
     brain, account = module(), RetryBudget(Retries(0.0, 2.0), 0.0)
     retry_budget = CombinedRetryBudget(account)
     (send,) = [
@@ -292,10 +298,10 @@
     ]
     assert account.spent == 1
     brain.on_outcome(Outcome(1, 1, again.worker, Status.NOT_SENT, 0.1, False), 0.2)
-    assert account.spent == 1  # given back, and paid again for the one that follows
+    assert account.spent == 1  # returned, and paid again for the next attempt
 
 
-def test_what_is_within_goes_first_by_when_it_is_wanted() -> None:
+def test_streams_within_share_are_served_first_by_rank() -> None:
     brain = module(hosts=1)
     full = Report(0.0, 0.0, 1.0)
     (send,) = [a for a in brain.on_request(Request(9, 0, 5.0, beyond=False), 0.0) if isinstance(a, Send)]
@@ -312,34 +318,34 @@
     assert order == [3, 2, 1]
 
 
-def test_the_ledger_refuses_nothing_itself() -> None:
-    """Every refusal is the module's: what the ledger has no room for is handed to it, and answered by it."""
+def test_ledger_leaves_every_refusal_to_the_module() -> None:
+    """Streams for which the ledger has no room are offered to the module, which refuses them."""
     world = Simulated(Plan(3, surge=3.0, warm=2.0, long=4.0))
     refused: list[int] = []
     node = world.nodes[0]
     actions = node._actions
 
-    def noted(found: Any) -> None:
+    def record_refusals(found: Any) -> None:
         refused.extend(action.id for action in found if isinstance(action, Refuse))
         actions(found)
 
-    node._actions = noted  # type: ignore[method-assign]
+    node._actions = record_refusals  # type: ignore[method-assign]
     world.run()
     assert len(refused) == world.answers["refused"] > 20 and not node.asks
 
 
-# -- the whole, in virtual time
+# -- whole dispatchers, in virtual time
 
 
 @pytest.mark.parametrize(("front", "instances"), [("http", 1), ("beanstalkd", 1), ("http", 2)])
-def test_one_member_s_surge_does_not_touch_the_others(front: str, instances: int) -> None:
+def test_surge_of_one_member_does_not_affect_others(front: str, instances: int) -> None:
     kept = pair(2, front, instances, True, warm=8.0, long=12.0)
     today = pair(2, front, instances, False, warm=8.0, long=12.0)
     assert kept["worst_loss"] <= 0.02 < today["worst_loss"] and kept["surging_got"] > 1.5
     assert kept["parts"] <= 1.0
 
 
-def test_a_pool_that_loses_half_its_hosts_in_the_surge_still_goes_by_shares() -> None:
+def test_shares_hold_when_half_the_hosts_are_lost_in_a_surge() -> None:
     worlds = [
         Simulated(Plan(2, contracts=kept, surge=3.0, warm=6.0, long=10.0, gone=(9.0, 6))).run()
         for kept in (True, False)
@@ -349,8 +355,8 @@
     assert not any(node.jobs for world in worlds for node in world.nodes)
 
 
-class Story(RuleBasedStateMachine):
-    """Streams come, go out, end, wait and are withdrawn in any order: each gets one final offer, and sums hold."""
+class LedgerMachine(RuleBasedStateMachine):
+    """Streams open, are sent, end, wait and are withdrawn in any order: each is offered once, and the sums hold."""
 
     @initialize(slots=st.floats(0, 30), shares=st.lists(st.floats(0, 0.6), min_size=1, max_size=4))
     def begin(self, slots: float, shares: list[float]) -> None:
@@ -424,22 +430,22 @@
             assert row.served == row.in_time + row.late
 
 
-Story.TestCase.settings = settings(steady, max_examples=25, stateful_step_count=30)
-TestStory = Story.TestCase
+LedgerMachine.TestCase.settings = settings(steady, max_examples=25, stateful_step_count=30)
+TestLedgerMachine = LedgerMachine.TestCase
 
 
 # -- the exchange
 
-LEAVES = tuple(ShareKey(m, c) for m in range(9) for c in range(2))
+SHARE_KEYS = tuple(ShareKey(m, c) for m in range(9) for c in range(2))
 
 
-def exchanges(count: int = 2, now: float = -10.0) -> list[Exchange]:
-    return [Exchange(n, count, LEAVES, Terms(), 1, now) for n in range(count)]
+def make_exchanges(count: int = 2, now: float = -10.0) -> list[Exchange]:
+    return [Exchange(n, count, SHARE_KEYS, Terms(), 1, now) for n in range(count)]
 
 
-def talk(nodes: list[Exchange], now: float, demands: list[float], lost: float = 0.0) -> None:
+def exchange_messages(nodes: list[Exchange], now: float, demands: list[float], lost: float = 0.0) -> None:
     for node, demand in zip(nodes, demands, strict=True):
-        node.on_demand(dict.fromkeys(LEAVES, demand))
+        node.on_demand(dict.fromkeys(SHARE_KEYS, demand))
     for node in nodes:
         for to, data in node.due(now):
             assert len(data) <= MAX_DATAGRAM_BYTES
@@ -447,56 +453,56 @@
                 nodes[to].on_datagram(data, now + 0.01)
 
 
-def test_parts_follow_the_traffic_and_fall_back_in_silence() -> None:
-    nodes = exchanges()
+def test_parts_follow_demand_and_return_to_equal_without_messages() -> None:
+    nodes = make_exchanges()
     for step in range(10):
-        talk(nodes, step / 10, [0.7, 0.1])
-    parts = [node.part(LEAVES[0], 1.0) for node in nodes]
+        exchange_messages(nodes, step / 10, [0.7, 0.1])
+    parts = [node.part(SHARE_KEYS[0], 1.0) for node in nodes]
     assert parts[0] > 0.75 > 0.3 > parts[1] and sum(parts) <= 1.0
     for step in range(10, 35):
-        talk(nodes, step / 10, [0.7, 0.1], lost=1.0)
-        assert sum(node.part(LEAVES[0], step / 10) for node in nodes) <= 1.0 + 1e-9
-    assert [node.part(LEAVES[0], 3.5) for node in nodes] == [0.5, 0.5] and nodes[0].silent_peers(3.5) == [1]
+        exchange_messages(nodes, step / 10, [0.7, 0.1], lost=1.0)
+        assert sum(node.part(SHARE_KEYS[0], step / 10) for node in nodes) <= 1.0 + 1e-9
+    assert [node.part(SHARE_KEYS[0], 3.5) for node in nodes] == [0.5, 0.5] and nodes[0].silent_peers(3.5) == [1]
     for step in range(35, 39):
-        talk(nodes, step / 10, [0.7, 0.1])
-    assert nodes[0].part(LEAVES[0], 3.9) > 0.7  # three messages after the cut
+        exchange_messages(nodes, step / 10, [0.7, 0.1])
+    assert nodes[0].part(SHARE_KEYS[0], 3.9) > 0.7  # three messages after the cut
 
 
-def test_a_restart_neither_forgives_nor_punishes() -> None:
-    nodes = exchanges()
+def test_parts_never_exceed_the_whole_after_a_restart() -> None:
+    nodes = make_exchanges()
     for step in range(10):
-        talk(nodes, step / 10, [0.7, 0.1])
-    nodes[1] = Exchange(1, 2, LEAVES, Terms(), 2, 1.0)
-    assert nodes[1].part(LEAVES[0], 1.0) == pytest.approx(0.5 * Terms().reserved_part)
+        exchange_messages(nodes, step / 10, [0.7, 0.1])
+    nodes[1] = Exchange(1, 2, SHARE_KEYS, Terms(), 2, 1.0)
+    assert nodes[1].part(SHARE_KEYS[0], 1.0) == pytest.approx(0.5 * Terms().reserved_part)
     for step in range(10, 22):
-        talk(nodes, step / 10, [0.7, 0.1])
-        assert sum(node.part(LEAVES[0], step / 10 + 0.02) for node in nodes) <= 1.0 + 1e-9
-    assert sum(node.part(LEAVES[0], 2.2) for node in nodes) == pytest.approx(1.0, abs=0.02)
+        exchange_messages(nodes, step / 10, [0.7, 0.1])
+        assert sum(node.part(SHARE_KEYS[0], step / 10 + 0.02) for node in nodes) <= 1.0 + 1e-9
+    assert sum(node.part(SHARE_KEYS[0], 2.2) for node in nodes) == pytest.approx(1.0, abs=0.02)
 
 
 @steady
 @given(st.binary(max_size=300))
-def test_garbage_is_counted_and_ignored(data: bytes) -> None:
-    node = exchanges()[0]
-    assert not node.on_datagram(data, 0.0) and sum(node.counts.values()) == 1 and node.part(LEAVES[0], 0.0) == 0.5
+def test_malformed_datagrams_are_counted_and_ignored(data: bytes) -> None:
+    node = make_exchanges()[0]
+    assert not node.on_datagram(data, 0.0) and sum(node.counts.values()) == 1 and node.part(SHARE_KEYS[0], 0.0) == 0.5
 
 
-def test_what_is_old_or_of_others_is_ignored() -> None:
-    nodes = exchanges()
-    talk(nodes, 0.0, [1.0, 0.0], lost=1.0)
+def test_old_and_foreign_datagrams_are_ignored() -> None:
+    nodes = make_exchanges()
+    exchange_messages(nodes, 0.0, [1.0, 0.0], lost=1.0)
     ((_, data),) = nodes[1].due(0.1)
     assert nodes[0].on_datagram(data, 0.1) and not nodes[0].on_datagram(data, 0.1)
     ((_, later),) = nodes[1].due(0.2)
     ((_, last),) = nodes[1].due(0.3)
     assert nodes[0].on_datagram(last, 0.3) and not nodes[0].on_datagram(later, 0.3)
-    other = Exchange(1, 2, LEAVES, Terms(), 9, 0.0, names="else")
+    other = Exchange(1, 2, SHARE_KEYS, Terms(), 9, 0.0, names="else")
     ((_, strange),) = other.due(0.0)
     assert not nodes[0].on_datagram(strange, 0.4) and not nodes[0].on_datagram(b"\2" + last[1:], 0.4)
     assert not nodes[1].on_datagram(last, 0.4) and not nodes[0].on_datagram(last[: HEAD.size + 1], 0.4)
     assert nodes[0].counts == {"taken": 2, "old": 2, "agreements": 1, "version": 1, "garbage": 1}
 
 
-def test_many_leaves_and_hosts_take_turns_within_the_bytes_of_a_datagram() -> None:
+def test_many_shares_and_hosts_take_turns_within_datagram_limit() -> None:
     leaves = tuple(ShareKey(n, 0) for n in range(150))
     nodes = [Exchange(n, 2, leaves, Terms(), 1, -9.0) for n in range(2)]
     hosts = {b"host-%d" % n: n for n in range(100)}
@@ -511,7 +517,7 @@
     assert sum(count is not None for count in found) > 60 and nodes[1].peers_in_flight(b"nobody", 2.0) is None
 
 
-def test_the_exchange_is_checked_and_its_flaw_would_be_found() -> None:
+def test_model_check_of_exchange_passes_and_finds_seeded_flaws() -> None:
     assert check_exchange.prove_lease() and not check_exchange.prove_lease(from_receipt=True)
     assert check_exchange.prove_sum(3) and not check_exchange.prove_sum(2, forget=True)
     assert check_exchange.explore(Exchange, 2, 60)["broken"] is None
@@ -522,7 +528,7 @@
 # -- in the operator's file, over both fronts
 
 
-def test_the_supplied_agreements() -> None:
+def test_supplied_agreements_are_valid() -> None:
     plan = config.operator_plan(tomllib.loads(SUPPLIED.read_text()), 0.0)
     assert plan.agreements is not None and plan.exchange is not None
     assert len(plan.agreements.members) == 10 and sum(m.share for m in plan.agreements.members) == pytest.approx(1.0)
@@ -553,7 +559,7 @@
         ("waiting_each = 64", "waiting_each = 64.5", "contracts.waiting_each"),
     ],
 )
-def test_faulty_agreements_are_named(old: str, new: str, key: str) -> None:
+def test_invalid_agreements_are_reported_by_key(old: str, new: str, key: str) -> None:
     text = SUPPLIED.read_text()
     assert old in text
     with pytest.raises(config.ConfigError) as caught:
@@ -571,7 +577,7 @@
 
 
 @FRONTS
-def test_shares_are_kept_over_both_fronts_and_reloaded(world: type[World]) -> None:
+def test_members_are_counted_on_both_fronts_and_reloaded(world: type[World]) -> None:
     at = world(["serve"])
     file, told = at.file, dict[str, Any]()
 
@@ -621,7 +627,7 @@
     assert [member.share for member in told["ledger"].agreements.members] == [0.9] and told["ledger"].open == 0
 
 
-def test_two_dispatchers_exchange_datagrams_and_a_page_tells_of_them() -> None:
+def test_two_dispatchers_exchange_datagrams_and_metrics_count_them() -> None:
     ports, pages = [free_port() for _ in range(2)], free_port()
     at = Http(["serve"])
     file = at.file
@@ -658,9 +664,9 @@
     assert other.startswith(b"HTTP/1.1 404")
 
 
-def test_the_page_holds_what_the_ledger_counts() -> None:
+def test_metrics_page_shows_ledger_counts() -> None:
     at = ledger(MemberTerms("a", 0.5))
-    standings(at, "a", 2, 1.0)
+    open_streams_beyond_share(at, "a", 2, 1.0)
     page = Page(Contracts(lambda: at.figures(1.0), dict))
     found = {m.name: m.samples[0].value for m in page.registry.collect() if m.samples}
     assert found["thistleshore_offered"] == 2.0 and found["thistleshore_allotment"] == 5.0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The route table: what streams are given by both fronts, what is refused at load, and tables swapped in flight."""
+"""The route table: routes of streams on both fronts, errors at load, and tables replaced under load."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     return live.table
 
 
-def test_the_first_rule_that_fits_decides_and_paths_and_tubes_come_last() -> None:
+def test_first_matching_rule_decides_before_paths_and_tubes() -> None:
     found = table(
         {"when": 'request.host == "b"', "class": '"search"', "member": '"b"', "key": "request.path"},
         {"when": 'request.host.startsWith("b")', "contract": '"issue"', "key": "7"},
@@ -78,7 +78,7 @@
     assert found.route(Request("beanstalkd", path="/s/x")) is None
 
 
-def test_a_class_of_several_teams_goes_by_the_member() -> None:
+def test_class_of_several_teams_is_resolved_by_member() -> None:
     found = table({"when": "true", "class": '"search"', "member": "request.host"})
     assert [found.route(Request(host=host)) for host in ("a", "b", "c")] == [
         (0, 10.0, "a", 0, "match[0]"),
@@ -87,14 +87,14 @@
     ]
 
 
-def test_keys_are_numbers_for_the_module() -> None:
+def test_key_numbers() -> None:
     assert (
         key_number("") == 0 and key_number(None) == 0 and key_number("a") == hash64("a") and key_number(-1) == 2**64 - 1
     )
 
 
 @pytest.mark.parametrize("text", ['a"b', "a\\b", "a\nb", "é\U0001f68c", "\0"])
-def test_a_path_of_any_letters_is_a_sound_rule(text: str) -> None:
+def test_any_path_text_gives_a_valid_rule(text: str) -> None:
     contract = {**FILE["contract"][0], "path": f"/{text}"}
     found = config.operator_plan({**FILE, "contract": [contract]}, 0.0).live
     assert found is not None and found.table.route(Request(path=f"/{text}x")) is not None and quoted(text)
@@ -118,14 +118,14 @@
         ({"when": "request.pth == ''", "member": "nobody"}, "match[0].when", "no field"),
     ],
 )
-def test_faulty_rules_are_named(match: dict[str, Any], key: str, reason: str) -> None:
+def test_invalid_rules_are_reported_by_key(match: dict[str, Any], key: str, reason: str) -> None:
     with pytest.raises(config.ConfigError) as caught:
         table(match)
     assert any(key in problem and reason in problem for problem in caught.value.problems)
     assert "\n" not in caught.value.in_a_line
 
 
-def test_contracts_of_one_name_cannot_be_told_apart() -> None:
+def test_ambiguous_contract_name_is_rejected() -> None:
     twins = [FILE["contract"][0], {**FILE["contract"][0], "path": "/t"}]
     with pytest.raises(config.ConfigError, match="2 contracts are called 'search'"):
         table({"when": "true", "contract": '"search"'}, contract=twins)
@@ -148,12 +148,12 @@
         ({"match": {"when": "true"}}, r"match: tables of the form"),
     ],
 )
-def test_faulty_tables_beside_the_rules_are_named(more: dict[str, Any], reason: str) -> None:
+def test_invalid_tables_beside_rules_are_reported(more: dict[str, Any], reason: str) -> None:
     with pytest.raises(config.ConfigError, match=reason):
         config.operator_plan({**FILE, **more}, 0.0)
 
 
-def test_all_faults_of_a_file_are_named_at_once_with_their_lines(tmp_path: Path) -> None:
+def test_all_faults_of_a_file_are_reported_with_lines(tmp_path: Path) -> None:
     text = SUPPLIED.read_text()
     for old, new in (
         ('effect = "keyed"', 'effect = "keyd"'),
@@ -185,11 +185,11 @@
     assert lines[line - 1][column - 1 :].startswith('request.size < "4"')
 
 
-# -- what the fronts fill in
+# -- fields set by the fronts
 
 
-def asked(parts: list[bytes], match: list[dict[str, str]]) -> tuple[list[model.Stream], bytes]:
-    """The streams that requests on one connection become, each served at once, and what is answered."""
+def run_requests(parts: list[bytes], match: list[dict[str, str]]) -> tuple[list[model.Stream], bytes]:
+    """Return the streams of the requests on one connection, each served at once, and the reply bytes."""
     plan = config.operator_plan({**FILE, "match": match}, 0.0)
     assert plan.http is not None
     streams: list[model.Stream] = []
@@ -241,26 +241,26 @@
         (post(b"/s/%2e%2e/s/%2f", b"X-A: \xff\xc3\xa9"), "h.example.org|/s/%2F|\ufffdé|-"),
     ],
 )
-def test_what_rules_see_of_an_http_request(request_: bytes, member: str) -> None:
-    streams, said = asked(
+def test_fields_of_an_http_request_in_rules(request_: bytes, member: str) -> None:
+    streams, said = run_requests(
         [request_], [{"when": "true", "member": MEMBER, "key": "string(request.size) + request.method"}]
     )
     assert said.startswith(b"HTTP/1.1 200")
     assert [(stream.member, stream.key, stream.job_class) for stream in streams] == [(member, hash64("3POST"), 0)]
 
 
-def test_a_path_that_climbs_out_is_not_what_it_seems() -> None:
-    streams, said = asked([post(b"/s/../other"), post(b"/s/%2e%2e/other")], [{"when": "false", "member": '"a"'}])
+def test_path_with_dot_segments_is_normalized() -> None:
+    streams, said = run_requests([post(b"/s/../other"), post(b"/s/%2e%2e/other")], [{"when": "false", "member": '"a"'}])
     assert said.startswith(b"HTTP/1.1 404") and b"no such class" in said and not streams
 
 
-def test_a_head_over_the_bound_is_refused_before_any_rule() -> None:
+def test_oversized_head_is_refused_before_any_rule() -> None:
     long = post(b"/s/x", b"X-A: " + b"a" * 10_000, b"X-B: " + b"b" * 10_000)
-    streams, said = asked([long], [{"when": 'request.headers[?"x-a"].orValue("") != ""', "member": '"a"'}])
+    streams, said = run_requests([long], [{"when": 'request.headers[?"x-a"].orValue("") != ""', "member": '"a"'}])
     assert said.startswith((b"HTTP/1.1 431", b"HTTP/1.1 400")) and not streams
 
 
-def test_who_a_client_is_goes_by_its_address() -> None:
+def test_member_by_client_address() -> None:
     at = Http(["serve"])
     rules = [
         {
@@ -278,7 +278,7 @@
     assert play(at.run, scenario) == "served"
 
 
-def test_rules_route_tubes_that_no_contract_names() -> None:
+def test_rules_route_tubes_of_no_contract() -> None:
     at = Beanstalkd(["serve"])
     rules = [
         {
@@ -299,11 +299,11 @@
     assert play(at.run, scenario) == ["served", "BAD_FORMAT", "BAD_FORMAT"]
 
 
-# -- swapped in flight
+# -- tables replaced under load
 
 
 def rules_of(version: str) -> list[dict[str, str]]:
-    """Two sets of rules that give everything differently: a stream with parts of both would show."""
+    """Return one of two rule sets that differ in every value, so that a stream with parts of both is detected."""
     contract = {"old": "seat-search", "new": "pay-out"}[version]
     return [
         {"when": "request.size > 0", "contract": f'"{contract}"', "member": f'"{version}"', "key": f'"{version}"'},
@@ -312,7 +312,7 @@
 
 
 @FRONTS
-def test_a_reload_under_load_loses_no_stream_and_mixes_no_two_sets(
+def test_reload_under_load_loses_no_stream_and_mixes_no_rule_sets(
     world: type[World], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     at, streams = world(["serve"]), list[model.Stream]()
@@ -368,7 +368,7 @@
     assert sum(given.values()) == 72
 
 
-def test_a_faulty_or_half_written_file_leaves_the_old_rules(tmp_path: Path) -> None:
+def test_invalid_or_partial_file_keeps_the_old_rules(tmp_path: Path) -> None:
     port, path = free_port(), tmp_path / "ops.toml"
     text = f"""
 [http]
@@ -429,7 +429,7 @@
     assert b"2 rules in force" not in said and b"1 rules in force" in said
 
 
-def test_the_supplied_set_is_sound_and_large_enough() -> None:
+def test_supplied_rules_are_valid_and_numerous() -> None:
     plan = config.operator_plan(tomllib.loads(SUPPLIED.read_text()), 0.0)
     assert plan.live is not None and len(plan.live.table.rules.rules) >= 24
     route = plan.live.table.route
