--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -300,10 +300,10 @@
 
     for spoil, told in (
         (lambda: changed("UPDATE held SET format = 2"), "format 2"),
-        (lambda: changed("UPDATE held SET sum = 5"), "torn"),
+        (lambda: changed("UPDATE held SET sum = 5"), "corrupt"),
         (lambda: changed("DELETE FROM held"), "empty"),
-        (lambda: file.write_bytes(whole[: len(whole) // 2]), "torn"),
-        (lambda: file.write_bytes(b"x" * 5000), "torn"),
+        (lambda: file.write_bytes(whole[: len(whole) // 2]), "corrupt"),
+        (lambda: file.write_bytes(b"x" * 5000), "corrupt"),
     ):
         file.write_bytes(whole)
         spoil()
--- a/thistleshore/releases/calls.py
+++ b/thistleshore/releases/calls.py
@@ -102,7 +102,7 @@
     async def _change_place(self, name: str, words: Sequence[str]) -> Answer:
         """Grant or free the place of a dispatcher or host."""
         if words[0] not in ("dispatcher", "host"):
-            return {"status": "refused", "told": "dispatcher or host is wanted"}
+            return {"status": "refused", "told": "expected dispatcher or host"}
         kind, which, reason = cast(Kind, words[0]), words[1], " ".join(words[2:])
         now, own_name, seen = time.time(), self.releases.name, self.releases.observe()
 
@@ -124,7 +124,7 @@
         voters = tuple(sorted(plan.voters))
         replies = await self.releases.ask_all(dict.fromkeys(voters, Learn()))
         if missing := [name for name, reply in replies.items() if not isinstance(reply, Known)]:
-            raise NoMajority(f"all voters are needed to begin: no answer from {', '.join(missing)}")
+            raise NoMajority(f"all voters must answer to begin the register; no answer from {', '.join(missing)}")
         initialized = {
             name: reply for name, reply in replies.items() if isinstance(reply, Known) and reply.value is not None
         }
@@ -142,14 +142,14 @@
         replies = await self.releases.ask_all(installs)
         if failed := {name: reply for name, reply in replies.items() if not isinstance(reply, Accepted)}:
             reasons = "; ".join(f"{voter}: {_failure_reason(reply)}" for voter, reply in failed.items())
-            return {"status": "no-majority", "told": f"begin again, for {reasons}"}
+            return {"status": "no-majority", "told": f"not begun at all voters, try again: {reasons}"}
         await self.releases.poll_voters()
         return {"status": "done", "number": 1}
 
     async def _reinstall_voter(self, name: str) -> Answer:
         """Reinstall a voter whose file was lost: remove it from the voters, write a new state, and add it again."""
         if name not in self.releases.plan.voters:
-            return {"status": "refused", "told": f"no voter of that name is in this instance's file: {name}"}
+            return {"status": "refused", "told": f"this instance's settings list no voter named {name}"}
         now, own_name = time.time(), self.releases.name
         result = await self.releases.change(lambda value: places.change_voter(value, name, False, own_name, now))
         if isinstance(result, Refusal):
@@ -163,7 +163,10 @@
             else await self._deposit_current_body(name, result)
         )
         if problem:
-            return {"status": "refused", "told": f"{name} is no voter now, and could not be taken in: {problem}"}
+            return {
+                "status": "refused",
+                "told": f"{name} was removed from the voters and could not be added again: {problem}",
+            }
         return await self._apply_change(lambda value: places.change_voter(value, name, True, own_name, now))
 
     async def _deposit_current_body(self, name: str, value: Value) -> str:
@@ -183,7 +186,7 @@
         """Return the instructions to this dispatcher's keeper."""
         value = self.releases.known
         if value is None or not self.releases.has_recent_majority:
-            return {"status": "no-majority", "told": "nothing is agreed now", "pid": os.getpid()}
+            return {"status": "no-majority", "told": "no majority has confirmed the value recently", "pid": os.getpid()}
         instructions = waves.order(value, self.releases.name)
         version = None if instructions.version is None else msgspec.to_builtins(instructions.version)
         return {
--- a/thistleshore/releases/carrier.py
+++ b/thistleshore/releases/carrier.py
@@ -161,7 +161,7 @@
                     pass
                 except Exception:
                     # A fault at one question must not end the program.
-                    log.exception("fault at a question to the register")
+                    log.exception("error while answering a register request")
             stream.socket.close()
 
         await trio.serve_listeners(serve, [listener])
@@ -172,7 +172,7 @@
             return self.voter.answer(question, trio.current_time())
         address = self.plan.voters.get(voter)
         if address is None:
-            return Unable("this instance's file has no address of it")
+            return Unable("this instance's settings have no address for it")
         # Creating a file takes longer on a busy disk than updating one.
         with trio.move_on_after(CHANGE_TIMEOUT if isinstance(question, Install | Deposit) else ANSWER_TIMEOUT):
             try:
@@ -441,7 +441,7 @@
                 lambda v: places.begin(v, "dispatcher", self.name, place.number, self.name, time.time())
             )
             if isinstance(begun, Value):
-                log.info("register: this instance goes out: %s", place.reason)
+                log.info("register: draining this instance: %s", place.reason)
                 self.drain.set()
 
     # -- the release -------------------------------------------------------------------------------------------
--- a/thistleshore/releases/keeping.py
+++ b/thistleshore/releases/keeping.py
@@ -106,7 +106,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
-            raise Busy(f"another keeper has {self.folder}") from None
+            raise Busy(f"another keeper holds {self.folder}") from None
         state = read(self.folder)
         known = [child for child in (state.serving, state.newcomer) if child is not None] if state is not None else []
         alive = frozenset(child.pid for child in known if is_running(child))
@@ -138,7 +138,7 @@
                 ):
                     break
                 if self.keeper.failure:
-                    log.error("keeper: it is not started again: %s", self.keeper.failure)
+                    log.error("keeper: giving up on the dispatcher: %s", self.keeper.failure)
                     break
                 if not stopping:
                     await self._poll()
--- a/thistleshore/releases/places.py
+++ b/thistleshore/releases/places.py
@@ -46,7 +46,9 @@
     maximum = max_allowed(bound, len(set(known) | set(others) | {name}))
     if len(others) < maximum:
         return None
-    return Refusal(limit, maximum, others, f"{limit} allows {maximum} out, and out are: {', '.join(others) or 'none'}")
+    return Refusal(
+        limit, maximum, others, f"limit {limit} allows {maximum} out; out now: {', '.join(others) or 'none'}"
+    )
 
 
 def grant(
@@ -56,10 +58,10 @@
     if value.place(kind, name) is not None:
         return value
     if len(value.places) >= MAX_PLACES:
-        return Refusal("places", MAX_PLACES, (), "no more places are kept")
+        return Refusal("places", MAX_PLACES, (), "the maximum number of places is granted")
     if kind == "dispatcher":
         if name not in observed.dispatchers:
-            return Refusal("known", 0, (), f"no dispatcher is named {name!r}")
+            return Refusal("known", 0, (), f"unknown dispatcher {name!r}")
         with_place = {place.name for place in value.places if place.kind == kind}
         refused = _limit_refusal(
             "dispatchers", value.limits.dispatchers, observed.dispatchers, with_place | observed.dispatchers_down, name
@@ -75,7 +77,7 @@
         )
     else:
         if name not in observed.hosts:
-            return Refusal("known", 0, (), f"no host is named {name!r}")
+            return Refusal("known", 0, (), f"unknown host {name!r}")
         service, zone = observed.hosts[name]
         refused = None
         for limit, bound, group in (
@@ -102,7 +104,7 @@
     """Mark a place as begun: its holder goes out now.  `number` must be that of the place."""
     place = value.place(kind, name)
     if place is None or place.number != number:
-        return Refusal("place", 0, (), f"{name} has no place of number {number}")
+        return Refusal("place", 0, (), f"{name} has no place with number {number}")
     if place.begun:
         return value
     places = tuple(msgspec.structs.replace(p, begun=True) if p is place else p for p in value.places)
@@ -129,5 +131,5 @@
         return value
     voters = (*value.voters, name) if votes else tuple(v for v in value.voters if v != name)
     if not voters:
-        return Refusal("voters", 1, (), "the last voter stays")
+        return Refusal("voters", 1, (), "the last voter cannot be removed")
     return with_change(value, "votes" if votes else "votes no more", name, "", by, when, voters=tuple(sorted(voters)))
--- a/thistleshore/releases/register.py
+++ b/thistleshore/releases/register.py
@@ -140,10 +140,10 @@
 
     def _check_request(self, register: int, seen: dict[str, int]) -> Unable | None:
         if register != self.state.register:
-            return Unable("its file is of another register")
+            return Unable("its file belongs to another register")
         if seen.get(self.state.voter, 0) > self.state.writes:
             # Others have seen more writes than the file has: promises or acceptances are missing from it.
-            return Unable("its file was set back to an older copy")
+            return Unable("its file was restored from an older copy")
         return None
 
 
@@ -207,7 +207,7 @@
         for name, promise in list(self._promises.items()):
             if self.seen.get(name, 0) > promise.writes:
                 del self._promises[name]  # restored from an older copy: its promise does not count
-                self.unable[name] = "its file was set back to an older copy"
+                self.unable[name] = "its file was restored from an older copy"
         if not self._majority(set(self._promises), self.voters):
             self._check_lost()
             return {}
--- a/thistleshore/releases/store.py
+++ b/thistleshore/releases/store.py
@@ -67,18 +67,18 @@
                 row = connection.execute("SELECT format, sum, data FROM held").fetchone()
             connection.close()
         except sqlite3.Error as problem:
-            raise Unusable(f"its file is torn: {problem}") from None
+            raise Unusable(f"its file is corrupt: {problem}") from None
         if row is None:
             raise Unusable("its file is empty")
         format_number, checksum, data = row
         if format_number != FORMAT:
             raise Unusable(f"its file has format {format_number}, and this program reads {FORMAT}")
         if not isinstance(data, bytes) or zlib.crc32(data) != checksum:
-            raise Unusable("its file is torn: the checksum is wrong")
+            raise Unusable("its file is corrupt: checksum mismatch")
         try:
             return msgspec.msgpack.decode(data, type=VoterState)
         except msgspec.MsgspecError as problem:
-            raise Unusable(f"its file is torn: {problem}") from None
+            raise Unusable(f"its file is corrupt: {problem}") from None
 
     def write(self, state: VoterState) -> None:
         """Write the state durably.  Raises Unusable if the write fails; then no reply may be sent."""
--- a/thistleshore/releases/voter.py
+++ b/thistleshore/releases/voter.py
@@ -27,14 +27,14 @@
 log = logging.getLogger("thistleshore")
 
 REPORT_LIFETIME = 3.0  # seconds for which a voter passes on the report of an instance
-ROLLED_BACK = "its file was set back to an older copy"
+ROLLED_BACK = "its file was restored from an older copy"
 
 
 class Voter:
     """The voter of this instance.  Each change of its state is durable before the reply is returned."""
 
     def __init__(self, name: str, folder: Path, bodies: BodyStore | None = None) -> None:
-        self.name, self.folder, self.unable_reason = name, folder, "it does not run yet"
+        self.name, self.folder, self.unable_reason = name, folder, "it has not started yet"
         self.bodies = bodies  # None: stores none, and accepts no value with a configuration
         self.store: Store | None = None
         self.acceptor: Acceptor | None = None
@@ -52,11 +52,11 @@
             except Busy as problem:
                 if self.unable_reason != str(problem):
                     self.unable_reason = str(problem)
-                    log.warning("register: no vote here: %s", self.unable_reason)
+                    log.warning("register: not voting: %s", self.unable_reason)
                 await trio.sleep(TAKEN_PAUSE)
             except Unusable as problem:
                 self.unable_reason = str(problem)
-                log.warning("register: no vote here: %s", self.unable_reason)
+                log.warning("register: not voting: %s", self.unable_reason)
                 return
         self._read(self.store)
 
@@ -66,7 +66,7 @@
             self.store.close()
         self.store = self.acceptor = None
         self._checked_voters.clear()
-        self.unable_reason = "the next process votes"
+        self.unable_reason = "its successor process votes"
 
     def on_write_counts(self, voter: str, seen: Mapping[str, int], voters: Sequence[str]) -> None:
         """Compare the write counts that another voter knows of with this voter's file.
@@ -78,7 +78,7 @@
             return
         if seen.get(self.name, 0) > self.acceptor.state.writes:
             self.acceptor, self.unable_reason = None, ROLLED_BACK
-            log.warning("register: no vote here: %s", self.unable_reason)
+            log.warning("register: not voting: %s", self.unable_reason)
             return
         self._checked_voters.add(voter)
         if 2 * (len(self._checked_voters & set(voters)) + 1) > len(voters):
@@ -89,15 +89,15 @@
         try:
             held = store.read()
             if held is None:
-                self.unable_reason = "it holds nothing yet, or its file was lost"
+                self.unable_reason = "it has no state yet, or its file was lost"
             elif held.voter != self.name:
-                self.unable_reason = f"its file is that of {held.voter}"
+                self.unable_reason = f"its file belongs to voter {held.voter}"
             else:
                 self.acceptor = Acceptor(held, self._has_body)
         except Unusable as problem:
             self.unable_reason = str(problem)
         if self.unable_reason:
-            log.warning("register: no vote here: %s", self.unable_reason)
+            log.warning("register: not voting: %s", self.unable_reason)
 
     def _has_body(self, digest: str) -> bool:
         return self.bodies is not None and self.bodies.read(digest) is not None
@@ -118,7 +118,7 @@
             return Unable(self.unable_reason)
         value = acceptor.state.value
         if self.name not in self._checked_voters and (value is None or value.voters != (self.name,)):
-            return Unable("it has not heard yet what the others know of it")
+            return Unable("it waits for a majority of the voters to confirm its write count")
         after, reply = acceptor.on_prepare(request) if isinstance(request, Prepare) else acceptor.on_accept(request)
         if after is not None:
             try:
@@ -167,7 +167,7 @@
 
     def _install(self, request: Install) -> Reply:
         if self.store is None or request.held.voter != self.name:
-            return Unable(self.unable_reason or "that is another voter's state")
+            return Unable(self.unable_reason or "the state belongs to another voter")
         if self.acceptor is not None and (request.begin or request.held.register != self.acceptor.state.register):
             return Unable("it holds a register already")
         try:
--- a/thistleshore/releases/waves.py
+++ b/thistleshore/releases/waves.py
@@ -48,19 +48,19 @@
 
 
 def read_plan(tables: Any) -> Plan:
-    """A plan from its file's tables, or PlanError."""
+    """Return the plan in a parsed TOML document.  Raises PlanError if it is invalid."""
     try:
         plan = msgspec.convert(tables, Plan, strict=False)
     except msgspec.ValidationError as problem:
         raise PlanError(str(problem)) from None
     if plan.worse not in ("undo", "halt"):
-        raise PlanError(f"worse: undo or halt is wanted, not {plan.worse!r}")
+        raise PlanError(f"worse: must be undo or halt, not {plan.worse!r}")
     if plan.service and (plan.version.command or plan.version.file):
-        raise PlanError("version: ticket workers have no command or file of ours; `act` brings it to them")
+        raise PlanError("version: command and file are for dispatchers only; ticket workers are changed by `act`")
     if not plan.service and (plan.act or plan.former):
-        raise PlanError("act: it is for ticket workers, and `service` names none")
+        raise PlanError("act: act and former are for ticket workers only, and `service` is empty")
     if not plan.waves:
-        raise PlanError("waves: at least one is wanted")
+        raise PlanError("waves: must have at least one entry")
     for key, minimum, maximum in (
         ("within", 1.0, 3600.0),
         ("enough", 0.0, 86400.0),
@@ -69,7 +69,7 @@
         ("error", 1e-6, 0.5),
     ):
         if not minimum <= getattr(plan, key) <= maximum:
-            raise PlanError(f"{key}: {minimum:g} to {maximum:g} is wanted, not {getattr(plan, key):g}")
+            raise PlanError(f"{key}: must be from {minimum:g} to {maximum:g}, not {getattr(plan, key):g}")
     return plan
 
 
@@ -90,24 +90,26 @@
     kind: Kind = "host" if plan.service else "dispatcher"
     before = value.release
     if before is not None and before.state in ACTIVE_STATES:
-        return Refusal("release", 1, (), f"release {before.number} is {before.state}: halt it, or wait for its end")
+        return Refusal("release", 1, (), f"release {before.number} is {before.state}: halt it or wait until it ends")
     if with_place := [place.name for place in value.places if place.release]:
-        return Refusal("release", 0, tuple(with_place), f"of the last release {', '.join(with_place)} are still midway")
+        return Refusal("release", 0, tuple(with_place), f"still changing in the last release: {', '.join(with_place)}")
     known = value.versions.get(plan.version.name)
     if known is not None and known != plan.version:
-        return Refusal("version", 0, (), f"version {plan.version.name} is known with another command or file")
+        return Refusal("version", 0, (), f"version {plan.version.name} exists with another command or file")
     if not zones:
-        return Refusal("known", 0, (), f"no {kind} of it is known")
+        return Refusal("known", 0, (), f"no {kind} is known for this release")
     former = {name: value.version_of(kind, name) or plan.former for name in zones}
     if all(version == plan.version.name for version in former.values()):
-        return Refusal("version", 0, (), f"all of them have version {plan.version.name}")
+        return Refusal("version", 0, (), f"all members run version {plan.version.name} already")
     if strange := sorted(
         name
         for name, version in former.items()
         if kind == "dispatcher" and version not in (INITIAL_VERSION, *value.versions)
     ):
         # They could not be rolled back, as keepers get the command of a version from the register.
-        return Refusal("version", 0, tuple(strange), f"what {', '.join(strange)} run is not known to the register")
+        return Refusal(
+            "version", 0, tuple(strange), f"the register does not know the versions of: {', '.join(strange)}"
+        )
     release = Release(
         value.number + 1,
         plan.version,
@@ -136,7 +138,7 @@
     """Halt, resume, undo or end release `number`; its places that have not begun are freed."""
     release = value.release
     if release is None or release.number != number:
-        return Refusal("release", 0, (), f"release {number} is not the one under way")
+        return Refusal("release", 0, (), f"release {number} is not the current one")
     wanted = release.halted_in if state == "resume" else state
     if wanted == release.state:
         return value  # repeated requests change nothing
@@ -161,7 +163,7 @@
     """Advance the release from `wave` to the next one."""
     release = value.release
     if release is None or release.number != number or release.state != "going" or release.wave != wave:
-        return Refusal("release", 0, (), "another has carried it on")
+        return Refusal("release", 0, (), "another instance has advanced it already")
     after = msgspec.structs.replace(release, wave=wave + 1, told=told)
     return places.with_change(value, f"release wave {wave + 2}", release.version.name, told, by, when, release=after)
 
@@ -208,7 +210,7 @@
     """Grant a place to a member that is to change."""
     release = value.release
     if release is None or release.number != number or name not in remaining(value):
-        return Refusal("release", 0, (), "another has carried it on")
+        return Refusal("release", 0, (), "another instance has advanced it already")
     return places.grant(value, release.kind, name, f"release of {release.version.name}", by, observed, when, number)
 
 
