--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Releases in waves and the keeper: pure changes, decisions in virtual time, and stories of processes with keepers."""
+"""Releases in waves and the keeper: pure functions, state machines in virtual time, and processes with keepers."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 # -- waves
 
 
-def test_waves_go_zone_by_zone_and_end_with_all() -> None:
+def test_waves_are_ordered_by_zone_and_end_with_all_members() -> None:
     assert waves.waves((1, "50%", "100%"), ZONES) == (("d0",), ("d2", "d4"), ("d1", "d3", "d5"))
     assert waves.waves((2,), ZONES) == (("d0", "d2"), ("d4", "d1", "d3", "d5"))
     assert waves.waves(("5%",), {"x": ""}) == (("x",),)
 
 
-def test_a_plan_is_read_or_its_fault_is_named() -> None:
+def test_plan_is_read_or_error_names_the_key() -> None:
     assert waves.read_plan({"version": {"name": "v2"}, "waves": [1, "20%"]}).waves == (1, "20%")
     fine = {"version": {"name": "v"}}
     for tables, fault in (
@@ -75,7 +75,7 @@
             waves.read_plan(tables)
 
 
-def test_nothing_goes_out_after_a_halt_and_undo_goes_the_newest_way_back() -> None:
+def test_halt_stops_new_changes_and_undo_reverts_latest_wave_first() -> None:
     value = begun()
     number = value.number
     assert waves.remaining(value) == ("d0",) and waves.order(value, "d0") == (V2, 0, False)
@@ -104,13 +104,13 @@
     assert value_of(waves.change_state(value, number, "undone", "", "me", 0.0)).release.state == "undone"  # type: ignore[union-attr]
 
 
-def test_one_that_fails_halts_the_release_and_gives_its_place_back() -> None:
+def test_failed_member_halts_the_release_and_frees_its_place() -> None:
     value = begun()
     value = value_of(waves.grant(value, value.number, "d0", "me", SEEN, 0.0))
     value = value_of(waves.failed(value, "d0", "", "it ended with status 9", "d0", 0.0))
     assert value.release is not None and value.release.state == "halted" and "status 9" in value.release.told
     assert not value.places and value.runs == {"d0": ""}
-    # One that runs what the register does not know could not be taken back.
+    # A member with a version unknown to the register could not be rolled back.
     value = value_of(waves.arrived(value, "d3", "v0", "d3", 0.0))
     refusal = waves.start(value, PLAN, ZONES, "me", 0.0)
     assert isinstance(refusal, Refusal) and refusal.out == ("d3",)
@@ -120,7 +120,7 @@
 
 
 class Fleet:
-    """A value, and processes that count; the driver's steps are carried out at once."""
+    """A value and simulated processes with counts; the driver's steps are applied immediately."""
 
     def __init__(self, good: Callable[[str, float], float], plan: waves.Plan = PLAN) -> None:
         self.value, self.driver, self.good = begun(plan), Driver(), good
@@ -155,13 +155,13 @@
         return self.value.release.state
 
 
-def test_a_clean_release_ends_done_also_in_a_surge() -> None:
+def test_clean_release_completes_even_in_a_surge() -> None:
     fleet = Fleet(lambda version, now: 0.5 if 8 < now < 20 else 0.97)
     assert fleet.play(120) == "done" and fleet.most_out == 1
     assert set(fleet.value.runs.values()) == {"v2"}
 
 
-def test_a_regression_is_undone_and_a_resumed_one_is_judged_anew() -> None:
+def test_regression_is_undone_and_resumed_release_gets_new_gate() -> None:
     fleet = Fleet(lambda version, now: 0.6 if version == "v2" else 0.97)
     assert fleet.play(40) == "undone" and set(fleet.value.runs.values()) == {""}
     assert any("without it" in told for told in fleet.done)
@@ -182,14 +182,14 @@
         ({"stuck": frozenset(NAMES)}, "not through"),
     ],
 )
-def test_what_does_not_go_by_itself_halts_it_after_a_while(change: dict[str, Any], told: str) -> None:
+def test_persistent_problem_halts_the_release(change: dict[str, Any], told: str) -> None:
     fleet = Fleet(lambda version, now: 0.97)
     vars(fleet).update(change)
     assert fleet.play(6) == "going"
     assert fleet.play(30) == "halted" and told in fleet.value.release.told  # type: ignore[union-attr]
 
 
-def test_few_requests_hold_it_and_then_halt_it() -> None:
+def test_too_few_requests_pause_and_then_halt_the_release() -> None:
     fleet = Fleet(lambda version, now: 0.97, msgspec.structs.replace(PLAN, bound=20.0))
     fleet.second()
     fleet.counts = {}
@@ -200,7 +200,7 @@
 
 
 class Machine:
-    """A keeper with processes that do as they are told."""
+    """A keeper with simulated processes that obey its actions."""
 
     def __init__(self, kept: KeeperState | None = None, alive: frozenset[int] = frozenset()) -> None:
         self.now, self.pids = 0.0, iter(range(100, 999))
@@ -232,7 +232,7 @@
 
 
 def midway() -> Machine:
-    """The newcomer, 101, is on trial beside 100."""
+    """Return a keeper whose new process, 101, is on trial beside 100."""
     machine = Machine()
     machine.wait(0.0)
     machine.do(machine.keeper.on_ready(100, 0.0))
@@ -245,7 +245,7 @@
     return machine
 
 
-def test_one_version_follows_another_and_the_fleet_is_told() -> None:
+def test_version_is_replaced_and_reported_to_the_fleet() -> None:
     machine = midway()
     machine.wait(5.0)
     assert machine.ended == [End(100)] and machine.keeper.state.phase == "ending"
@@ -254,7 +254,7 @@
     assert machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
-def test_a_newcomer_that_fails_leaves_the_one_before_serving() -> None:
+def test_failed_replacement_leaves_old_process_serving() -> None:
     machine = midway()
     machine.gone(101)
     assert machine.keeper.state.serving.pid == 100 and machine.said[-1].what == "failed"
@@ -267,11 +267,11 @@
     machine.gone(101, -9)
     assert machine.said[-1] == FleetCall("arrived", ("-",))
     machine = midway()
-    machine.gone(100)  # the one before dies: the newcomer serves already
+    machine.gone(100)  # the old process dies while the new one serves already
     assert machine.keeper.state.serving.pid == 101 and machine.said[-1] == FleetCall("arrived", ("-v2",))
 
 
-def test_one_that_is_not_ready_in_time_is_ended() -> None:
+def test_replacement_not_ready_in_time_is_killed() -> None:
     machine = Machine()
     machine.wait(0.0)
     machine.order(V2)
@@ -281,7 +281,7 @@
     assert machine.keeper.state.serving.pid == 100 and machine.said[-1].what == "failed"
 
 
-def test_crashes_wait_longer_each_time_and_a_loop_has_an_end() -> None:
+def test_crashes_back_off_and_stop_at_the_crash_limit() -> None:
     machine = Machine()
     machine.wait(0.0)
     machine.gone(100)
@@ -298,7 +298,7 @@
     assert "3 crashes" in machine.keeper.failure and machine.keeper.state.phase == "down"
     machine = Machine()
     machine.wait(0.0)
-    machine.gone(100, 0)  # drained as it was asked: that is no crash
+    machine.gone(100, 0)  # a requested drain is no crash
     assert machine.keeper.state.serving.pid == 101
 
 
@@ -317,7 +317,7 @@
         ("alone", {1}, 1, ""),
     ],
 )
-def test_the_next_keeper_goes_on_from_what_lives(phase: Any, alive: set[int], serves: int, word: str) -> None:
+def test_next_keeper_adopts_running_processes(phase: Any, alive: set[int], serves: int, word: str) -> None:
     newcomer = None if phase == "alone" else Child(V2, 2, 1)
     machine = Machine(KeeperState(Child(None, 1, 1), newcomer, phase), frozenset(alive))
     assert machine.keeper.state.serving.pid == serves
@@ -326,7 +326,7 @@
     else:
         machine.wait(0.0)
         machine.wait(2.0)
-        assert machine.keeper.state.serving.version is None  # all of it was gone: the version that had served
+        assert machine.keeper.state.serving.version is None  # no process left: the version that served
     assert [say.what for say in machine.said] == ([word] if word else [])
     assert machine.ended == ([End(1)] if (phase, alive) == ("ending", {1, 2}) else [])
 
@@ -337,7 +337,7 @@
         st.tuples(st.sampled_from(["time", "ready", "gone", "order", "back", "said"]), st.integers(0, 3)), max_size=40
     )
 )
-def test_whatever_happens_one_process_serves_or_is_started(events: list[tuple[str, int]]) -> None:
+def test_random_events_keep_one_process_serving_or_starting(events: list[tuple[str, int]]) -> None:
     machine = Machine()
     machine.wait(0.0)
     for what, number in events:
@@ -359,7 +359,7 @@
         assert not ended or kept.phase in ("ending", "back", "alone")
 
 
-def test_a_keeper_that_is_ended_ends_what_hangs() -> None:
+def test_stopped_keeper_kills_hanging_processes() -> None:
     machine = midway()
     machine.do(machine.keeper.on_stop(machine.now))
     assert machine.ended == [End(100), End(101)]
@@ -367,7 +367,7 @@
     assert machine.ended[2:] == [End(100, kill=True), End(101, kill=True)]
 
 
-def test_a_keeper_starts_only_what_its_own_file_allows() -> None:
+def test_keeper_starts_only_commands_allowed_by_its_settings() -> None:
     plan = KeepPlan("keep", allow=(("/opt/t-*/bin/python", "-O", "-m", "thistleshore"),), files=("/etc/t/*.toml",))
     fine = ("/opt/t-2.4/bin/python", "-O", "-m", "thistleshore")
     assert keeping.forbidden_reason(None, plan) == keeping.forbidden_reason(Version("a"), plan) == ""
@@ -381,10 +381,10 @@
         ((up, *fine[1:]), ""),
     ):
         assert keeping.forbidden_reason(Version("a", command, file), plan) != ""
-    assert keeping.forbidden_reason(Version("a", fine), KeepPlan("keep")) != ""  # without a word of it nothing else is
+    assert keeping.forbidden_reason(Version("a", fine), KeepPlan("keep")) != ""  # without `allow` no command is allowed
 
 
-def test_a_process_is_known_by_its_birth_and_a_spoilt_state_is_told(tmp_path: Path) -> None:
+def test_process_is_identified_by_start_time_and_corrupt_state_is_reported(tmp_path: Path) -> None:
     here = Child(None, os.getpid(), keeping.start_ticks(os.getpid()))
     assert keeping.is_running(here) and not keeping.is_running(msgspec.structs.replace(here, born=here.born + 1))
     assert not keeping.is_running(Child(None)) and keeping.read(tmp_path) is None
@@ -404,7 +404,7 @@
     "workers": {"count": 3},
     "load": {"rate": 25.0},
 }
-THROUGH = 9.0  # s for one dispatcher: start, trial, drain, and twice a look
+THROUGH = 9.0  # seconds for one dispatcher: start, trial, drain and two polls
 
 
 def mutant(name: str) -> dict[str, Any]:
@@ -439,7 +439,7 @@
     text = json.dumps({"enough": 2.0, "within": 40.0, **plan}, separators=(",", ":"))
     found = await rig.told(at, f"start {text}")
     if found is not None and found["status"] == "no-majority":
-        # On a busy machine no majority may answer in time; whether it came about all the same is seen by and by.
+        # On a busy machine no majority may answer in time; poll until the change has been made or not.
         await trio.sleep(1.0)
         told = await rig.told(at, "release")
         begun = told is not None and told["release"] is not None and told["release"]["version"] == plan["version"]
@@ -478,12 +478,12 @@
         answers = [await start(rig, at, version={"name": "v2"}, waves=[1, "100%"]) for at in ("p1", "p2")]
         assert [answer["status"] for answer in answers] == ["done", "refused"], answers  # one at a time
         await until(rig, "p2", lambda found: "p0" in found["out"], 8.0)
-        # The keeper of the one that is midway dies; the next adopts what lives.
+        # The keeper of the changing dispatcher dies; the next one adopts the running processes.
         kept(rig, "p0").crash_keeper()
         rig.start("p0")
         found = await until(rig, "p2", lambda found: found["runs"]["p0"] == "v2", 2 * THROUGH + STARTED)
         assert found["carried_on_by"] == "p0"
-        # The instance that carries it forward dies; another goes on, and its keeper has it back.
+        # The leader dies; another instance goes on, and the keeper restarts the leader.
         excuse(rig, "p0")
         rig.kill("p0")
         found = await until(rig, "p2", state("done", "halted"), 4 * THROUGH + STARTED + 30.0)
@@ -492,7 +492,7 @@
         assert [child.name for child in kept(rig, "p1").kept] == ["v2"] != first
         assert [act["what"] for act in found["history"]].count("release done") == 1
 
-    # One dispatcher's wall clock is an hour behind: nothing is decided by it.
+    # One dispatcher's wall clock is an hour behind, which must not affect any decision.
     tmp_path.mkdir(parents=True, exist_ok=True)
     python = script(tmp_path, LATE.format(python=sys.executable))
     await with_keepers(tmp_path, scenario, (str(python), "-O", "-m", "thistleshore"))
@@ -505,7 +505,7 @@
         assert "without it" in found["release"]["told"]
         found = await until(rig, "p1", state("undone"), 30.0)
         assert set(found["runs"].values()) == {""}
-        # A halt and a word to go on at two instances, and an undo to a version whose command is gone.
+        # Halt and resume at two instances, and an undo to a version whose command is missing.
         script = tmp_path / "program"
         script.write_text(f'#!/bin/sh\nexec {sys.executable} -O -m thistleshore "$@"\n')
         script.chmod(0o755)
@@ -541,7 +541,7 @@
         found = await until(rig, "p2", state("halted", version="gone"), THROUGH)
         assert "cannot be started" in found["release"]["told"]
         assert [child.pid for child in kept(rig, "p0").kept] == before
-        # A dispatcher that is drained by its place comes back by its keeper, and gives the place up.
+        # A dispatcher drained by its place is restarted by its keeper and frees the place.
         done(await rig.told("p1", "drain dispatcher p3 kernel"))
         pid = [child.pid for child in kept(rig, "p3").kept]
         excuse(rig, "p3", seconds=10.0)
@@ -556,7 +556,7 @@
         large, small = ["p1", "p2", "p3"], ["p0", "p4"]
         done(await start(rig, "p1", version={"name": "v2"}, waves=[1, "100%"], enough=0.5))
         await until(rig, "p2", lambda found: found["runs"]["p0"] == "v2", 2 * THROUGH)
-        # Its driver is cut off with the minority, which can start nothing; the others hold, and then halt.
+        # The leader is partitioned with the minority, which can start nothing; the others pause and then halt.
         rig.cut(small, large)
         no = await rig.told("p4", 'start {"version":{"name":"v3"}}')
         assert no is None or no["status"] == "no-majority", no
@@ -564,20 +564,20 @@
         assert found["release"]["told"]
         rig.heal()
         assert await rig.settle(rig.terms.healing_bound(5)) is not None
-        # A limit that is lowered holds it; words in opposite order at two instances end in one of them, everywhere.
+        # A lowered limit pauses it; concurrent halt and resume calls end in one state at all instances.
         done(await rig.told("p1", 'limits {"dispatchers":0}'))
         done(await rig.told("p4", "resume it is whole"))
         await until(rig, "p2", lambda found: "allows 0 out" in found["held"] or found["out"] != [], 6.0)
         done(await rig.told("p1", 'limits {"dispatchers":1}'))
         await until(rig, "p2", lambda found: bool(found["out"]), 2 * THROUGH)
-        # All are killed with their keepers in mid-release, and started again.
+        # All are killed with their keepers during a release and started again.
         excuse(rig, *rig.processes, seconds=10.0)
         for name in rig.processes:
             kept(rig, name).crash_keeper()
         rig.kill(*rig.processes)
         rig.start()
         assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
-        # Whoever was midway fails by that, which halts it; a word has it go on.
+        # Members that were changing fail by that, which halts the release; it can be resumed.
         for _ in range(3):
             found = await until(rig, "p3", state("done", "halted"), 5 * THROUGH + 10.0)
             if found["release"]["state"] == "done":
@@ -591,7 +591,7 @@
 
 
 async def each_fault_point_is_survived(tmp_path: Path) -> None:
-    """Whoever dies between two steps, the release ends in a stated outcome and all serve."""
+    """Whichever process dies between two steps, the release ends in a final state and all serve."""
 
     async def scenario(rig: Rig) -> None:
         found = await start(rig, "p1", version={"name": "v2"}, waves=["100%"], enough=0.0, within=60.0)
@@ -599,7 +599,7 @@
         excuse(rig, *rig.processes, seconds=60.0)
         with trio.move_on_after(4 * THROUGH + 60.0):
             while True:
-                for name in rig.processes:  # a keeper that died at its point is started again
+                for name in rig.processes:  # restart keepers that died at their fault point
                     if not kept(rig, name).keeps:
                         rig.start(name)
                 found = await rig.told("p2", "release")
@@ -613,9 +613,9 @@
 
     points = {point: "p0" if point.startswith("driver") else f"p{n % 4}" for n, point in enumerate(POINTS)}
     tmp_path.mkdir(parents=True, exist_ok=True)
-    # Each process dies at the points that are its own; without -O, as they are dead under it.
+    # Each process dies at its own fault points; without -O, which disables them.
     wrapper = script(tmp_path, FAULTY.format(points=points, folder=str(tmp_path), python=sys.executable))
-    # Each death is a process that could not answer: what its clients got is no finding.
+    # A killed process cannot answer, so failures of its clients are expected.
     await with_keepers(tmp_path, scenario, (str(wrapper), "-m", "thistleshore"), ("keyed", "clean"))
 
 
@@ -641,19 +641,19 @@
             ]
             return (await trio.run_process(command, check=False, capture_stdout=True)).returncode
 
-        assert await carry(3.0) == 0  # whoever carries it out goes away; another goes on
+        assert await carry(3.0) == 0  # the operator's command ends; another one continues
         begun = rig.truth.now
         assert await carry(60.0) == 0
         found = await until(rig, "p2", state("done", "halted"), 2.0)
         assert found["release"]["state"] == "done" and set(found["runs"].values()) == {"w2"}, found
         assert sorted(set(done_file.read_text().split("\n")) - {""}) == ["w0 w2", "w1 w2", "w2 w2"]
-        # All come back and are sent to; back to the first version by the same way.
+        # All return and get requests; then back to the first version in the same way.
         assert {row["worker"] for row in of(rig.truth.rows, "sent") if row["t"] > begun} == {"w0", "w1", "w2"}
         done(await rig.told("p3", "undo no good"))
         assert await carry(60.0) == 0
         found = await until(rig, "p2", state("undone", "halted"), 2.0)
         assert found["release"]["state"] == "undone" and done_file.read_text().split("\n")[-2].endswith(" w1")
-        # A command that fails halts it, and the worker serves on.
+        # A failing command halts it, and the worker goes on serving.
         done(await start(rig, "p0", **{**plan, "act": ["false"]}))
         assert await carry(60.0) == 0
         found = await until(rig, "p2", state("halted", version="w2"), 4.0)
@@ -663,7 +663,7 @@
 
 
 def script(folder: Path, text: str) -> Path:
-    """In place of Python: a program that decides, by its own name and file, what it is."""
+    """Write a script that replaces the Python command and chooses its behaviour by its own name and file."""
     made = folder / "python"
     made.write_text(f"#!{sys.executable}\n{text}")
     made.chmod(0o755)
@@ -708,7 +708,7 @@
     assert played(story) == ""
 
 
-def test_the_keys_of_a_keeper_are_checked(tmp_path: Path) -> None:
+def test_keeper_settings_are_validated(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "releases.toml").read_text()
     plan = config.operator_file(str(ROOT / "deploy" / "releases.toml"), 0.0).keep
     assert plan is not None and plan.folder == "keep" and plan.crashes == 5
@@ -721,7 +721,7 @@
         refused(text, old, new, fault, tmp_path / "faulty.toml")
 
 
-def test_check_finds_folders_and_voters_that_clash(tmp_path: Path) -> None:
+def test_check_reports_conflicting_folders_and_voters(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "releases.toml").read_text()
     other = text.replace('name = "kigali-1"', 'name = "kigali-2"').replace(":7950", ":7951", 2)
     other = other.replace(":7960", ":7961")
--- a/tests/test_register_following.py
+++ b/tests/test_register_following.py
@@ -1,4 +1,4 @@
-"""Following the register: what is asked and answered while nothing changes, and places that a keeper answers for."""
+"""Following the register: polls and replies while nothing changes, and places of a release."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Following:
-    """An instance whose questions and answers are put down."""
+    """An instance whose poll requests and replies are recorded."""
 
     def __init__(self, this: Releases) -> None:
         self.this = this
@@ -45,8 +45,8 @@
 
         this.ask = ask  # type: ignore[method-assign]
 
-    async def look(self) -> tuple[list[Learn], list[Known]]:
-        """One look, with what it asked and was answered."""
+    async def poll(self) -> tuple[list[Learn], list[Known]]:
+        """Poll the voters once; return the requests and replies."""
         self.asked, self.answers = [], []
         await self.this.poll_voters()
         return self.asked, self.answers
@@ -64,41 +64,41 @@
     return found
 
 
-def test_a_value_that_the_asker_has_is_not_sent_again_and_a_change_is(tmp_path: Path) -> None:
+def test_only_changed_values_are_sent_again(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         begun = await tier.begin()
         following = Following(tier.instance("y"))
-        _, first = await following.look()
+        _, first = await following.poll()
         assert [answer.value is not None for answer in first] == [True] * 3
         before = following.this.known
-        _, again = await following.look()
+        _, again = await following.poll()
         assert [(answer.unchanged, answer.value) for answer in again] == [(True, None)] * 3
         assert following.this.known == before == following.this.agreed
         changed = await limited_to(begun, 2)
-        _, after = await following.look()
+        _, after = await following.poll()
         assert any(answer.value == changed for answer in after)
         assert following.this.known == changed == following.this.agreed
 
     on_tier(scenario, tmp_path)
 
 
-def test_a_voter_that_missed_a_change_is_asked_for_its_own_value(tmp_path: Path) -> None:
+def test_outdated_voter_sends_its_own_value(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         begun = await tier.begin()
         following = Following(tier.instance("y"))
-        await following.look()
+        await following.poll()
         tier.deaf = {"c"}
         changed = await limited_to(begun, 2)
-        await following.look()
+        await following.poll()
         tier.deaf = set()
-        _, answers = await following.look()
+        _, answers = await following.poll()
         assert sorted(answer.unchanged for answer in answers) == [False, True, True]
         assert following.this.known == changed
 
     on_tier(scenario, tmp_path)
 
 
-def test_programs_without_the_new_fields_and_other_registers_are_answered_in_full(tmp_path: Path) -> None:
+def test_older_programs_and_other_registers_get_full_replies(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         await tier.begin()
         voter = tier.voters["a"]
@@ -116,21 +116,21 @@
     on_tier(scenario, tmp_path)
 
 
-def test_reports_are_told_while_somebody_is_out_and_only_then(tmp_path: Path) -> None:
+def test_reports_are_returned_only_while_someone_is_out(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         begun = await tier.begin()
         following = Following(tier.instance("y"))
-        asked, answers = await following.look()
-        assert all(question.report is not None for question in asked)  # the first look tells where it is
+        asked, answers = await following.poll()
+        assert all(question.report is not None for question in asked)  # the first poll carries a report
         assert not any(answer.reports for answer in answers)
-        asked, _ = await following.look()
-        assert not any(question.report for question in asked)  # nobody needs it so soon
+        asked, _ = await following.poll()
+        assert not any(question.report for question in asked)  # the next report is not due yet
         await trio.sleep(REPORT_INTERVAL)
-        asked, _ = await following.look()
+        asked, _ = await following.poll()
         assert all(question.report is not None for question in asked)
         await host_out(begun)
-        await following.look()  # learns of it
-        asked, answers = await following.look()
+        await following.poll()  # learns of the change
+        asked, answers = await following.poll()
         assert all(question.wants_reports and question.report is not None for question in asked)
         assert all("y" in [report.name for report in answer.reports] for answer in answers)
         assert "y" in following.this.reports
@@ -138,7 +138,7 @@
     on_tier(scenario, tmp_path)
 
 
-def test_who_has_no_vote_looks_less_often_while_nothing_is_under_way(tmp_path: Path) -> None:
+def test_instance_without_vote_polls_less_often_while_idle(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         begun = await tier.begin()
         this = tier.instance("y")
@@ -147,13 +147,14 @@
             found = [this._poll_pause() for _ in range(200)]
             return min(found), max(found)
 
-        assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL  # no voter has answered yet: many would ask in vain at once
+        # No voter has answered yet: frequent retries would overload them.
+        assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL
         await this.poll_voters()
-        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # not acted on yet
+        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # not applied yet
         this.applied = this.known.number if this.known is not None else 0
         assert pauses()[0] >= 0.75 * IDLE_POLL_INTERVAL
         this.voter = tier.voters["a"]
-        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # a voter tells the fleet of what it learns
+        assert pauses()[1] <= 1.25 * POLL_INTERVAL  # voters pass changes on to the fleet
         this.voter = None
         value = await host_out(begun)
         await this.poll_voters()
@@ -163,13 +164,13 @@
     on_tier(scenario, tmp_path)
 
 
-def test_what_was_said_counts_until_the_next_idle_look_is_answered() -> None:
+def test_majority_validity_exceeds_an_idle_poll() -> None:
     assert MAJORITY_VALIDITY > 1.25 * IDLE_POLL_INTERVAL + ANSWER_TIMEOUT
     assert REPORT_LIFETIME > REPORT_INTERVAL + 1.25 * IDLE_POLL_INTERVAL + ANSWER_TIMEOUT
 
 
 def with_begun_release(value: Value) -> Value | Refusal:
-    """A release whose first dispatcher, of life 1, is out."""
+    """Return a value with a release whose first dispatcher, of generation 1, is out."""
     found: Value | Refusal = waves.start(
         value, waves.Plan(Version("v2"), waves=("100%",)), {"x": "a", "y": "a"}, "x", 0.0
     )
@@ -182,13 +183,13 @@
     return found
 
 
-def test_the_place_of_a_release_is_freed_by_its_keeper_alone(tmp_path: Path) -> None:
-    """One that was killed with its keeper and serves again is midway until the keeper has said so: nobody else goes."""
+def test_release_place_is_freed_only_by_its_keeper(tmp_path: Path) -> None:
+    """A dispatcher killed with its keeper keeps its place until the keeper reports, even if it serves again."""
 
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
         assert isinstance(await this.change(with_begun_release), Value)
-        this.generation, this.ready = 2, lambda: True  # it was started anew
+        this.generation, this.ready = 2, lambda: True  # it was restarted
         await this.poll_voters()
         await this.apply()
         assert this.known is not None and this.known.place("dispatcher", "x") is not None
@@ -201,7 +202,7 @@
     on_tier(scenario, tmp_path)
 
 
-def test_another_place_is_freed_once_its_holder_serves_again(tmp_path: Path) -> None:
+def test_other_place_is_freed_when_its_holder_serves_again(tmp_path: Path) -> None:
     async def scenario(tier: Tier) -> None:
         this = await tier.begin()
         await this.change(lambda value: places.grant(value, "dispatcher", "x", "why", "x", SEEN, 0.0))
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Who may be out: the pure parts, the store, and processes with faults between them."""
+"""Places to be out and the register: pure functions, the store, the gate, and processes with injected faults."""
 
 from __future__ import annotations
 
@@ -47,19 +47,19 @@
     return places.grant(value, kind, name, "why", "d0", seen, 0.0)
 
 
-def test_a_place_is_given_while_the_limit_holds_and_a_refusal_names_who_is_out() -> None:
+def test_place_is_granted_within_the_limit_and_refusal_names_members_out() -> None:
     one = taken(ask(VALUE, "dispatcher", "d1"))
     assert one.number == 2 and one.place("dispatcher", "d1") and ask(one, "dispatcher", "d1") == one
     no = ask(one, "dispatcher", "d2")
     assert isinstance(no, Refusal) and no.limit == "dispatchers" and no.out == ("d1",) and "d1" in no.reason
-    # Whoever is down without having asked counts, and has no place of its own to give up.
+    # A member that is down without a place counts as out.
     down = SEEN._replace(dispatchers_down=frozenset({"d3"}))
     assert isinstance(ask(VALUE, "dispatcher", "d2", down), Refusal)
     assert isinstance(ask(VALUE, "dispatcher", "d3", down), Value)  # it is out already
     assert isinstance(ask(VALUE, "dispatcher", "nobody"), Refusal)
 
 
-def test_hosts_have_a_limit_by_service_and_one_by_zone() -> None:
+def test_hosts_are_limited_by_service_and_by_zone() -> None:
     value = taken(ask(VALUE, "host", "h0"))
     assert ask(value, "host", "h2").limit == "hosts_a_zone"  # type: ignore[union-attr]
     value = taken(ask(value, "host", "h1"))
@@ -67,7 +67,7 @@
     assert [places.max_allowed(bound, 10) for bound in (0, 3, "0%", "5%", "20%", "100%")] == [0, 3, 0, 1, 2, 10]
 
 
-def test_a_place_is_freed_by_its_return_alone_and_a_lowered_limit_calls_nobody_back() -> None:
+def test_place_is_freed_only_explicitly_and_lowered_limit_revokes_none() -> None:
     value = taken(places.set_limits(VALUE, Limits(dispatchers=2), "d0", 0.0))
     value = taken(ask(taken(ask(value, "dispatcher", "d1")), "dispatcher", "d2"))
     value = taken(places.set_limits(value, Limits(dispatchers=1), "d0", 0.0))
@@ -86,7 +86,7 @@
     st.lists(st.tuples(st.sampled_from(["ask", "free", "down", "up"]), st.integers(0, 4)), max_size=30),
     st.integers(0, 3),
 )
-def test_whatever_is_asked_no_place_is_given_beyond_the_limit(acts: list[tuple[str, int]], most: int) -> None:
+def test_random_requests_never_get_places_beyond_the_limit(acts: list[tuple[str, int]], most: int) -> None:
     value, down = taken(places.set_limits(VALUE, Limits(dispatchers=most), "d0", 0.0)), set[str]()
     for what, number in acts:
         name = f"d{number}"
@@ -108,7 +108,7 @@
 
 
 class Cluster:
-    """Acceptors with disks, and rounds whose messages come in any order, late or never."""
+    """Acceptors with disks, and rounds whose messages are reordered, delayed or lost."""
 
     def __init__(self, count: int = 3) -> None:
         names = tuple("abcde"[:count])
@@ -133,7 +133,7 @@
         return this.outcome
 
 
-def test_a_round_changes_the_value_and_a_refusal_is_agreed_as_well() -> None:
+def test_round_agrees_on_changes_and_on_refusals() -> None:
     cluster = Cluster()
     done = cluster.play(Round(7, ("a", "b", "c"), (2, "x"), lambda v: ask(v, "dispatcher", "d1")))
     assert done.what == "done" and done.refusal is None and done.value.number == 2
@@ -146,7 +146,7 @@
     assert lost.what == "lost" and "a: no answer" in lost.reason
 
 
-def test_voters_change_one_at_a_time_by_both_majorities() -> None:
+def test_voter_change_needs_majorities_of_old_and_new_voters() -> None:
     cluster = Cluster(3)
     cluster.disks["d"] = VoterState(7, "d")
     cluster.acceptors["d"] = Acceptor(cluster.disks["d"])
@@ -156,14 +156,16 @@
 
     done = cluster.play(Round(7, ("a", "b", "c"), (2, "x"), put(True, "d")))
     assert done.what == "done" and done.value.voters == ("a", "b", "c", "d")
-    # One that still goes by the old voters is told of the new ones.
+    # A proposer that uses the old voters learns the new ones.
     assert cluster.play(Round(7, ("a", "b", "c"), (3, "x"), lambda v: v)).what == "voters"
     for gone in ("a", "b"):
         cluster.acceptors[gone] = None  # type: ignore[assignment]
-    assert cluster.play(Round(7, done.value.voters, (4, "x"), lambda v: v)).what == "lost"  # two of four are none
+    assert (
+        cluster.play(Round(7, done.value.voters, (4, "x"), lambda v: v)).what == "lost"
+    )  # two of four are no majority
 
 
-def test_a_voter_that_was_set_back_does_not_vote_once_others_have_seen_it_ahead() -> None:
+def test_voter_restored_from_older_copy_does_not_vote() -> None:
     cluster = Cluster()
     old = cluster.disks["a"]
     for number in (2, 3):
@@ -177,8 +179,8 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_rounds_that_meet_crash_and_lose_messages_never_pass_the_limit(seed: int) -> None:
-    """What a round reports as done is in the value of each that begins later; one place at most is ever given."""
+def test_concurrent_rounds_with_crashes_and_lost_messages_keep_the_limit(seed: int) -> None:
+    """Each later round sees the value of every completed one, and at most one place is ever granted."""
     at, cluster = random.Random(seed), Cluster()
     rounds: list[tuple[Round, list[tuple[str, Any]], int]] = []
     done: list[Value] = []
@@ -198,16 +200,16 @@
             if queue:
                 name, message = queue.pop(at.randrange(len(queue)))
                 if at.random() < 0.15:
-                    continue  # lost, there or on the way back
+                    continue  # request or reply lost
                 queue += this.on_reply(name, cluster.answer(name, message)).items()
                 if at.random() < 0.1:
-                    cluster.answer(name, message)  # repeated
+                    cluster.answer(name, message)  # duplicate
             if this.outcome is not None or not queue:
                 rounds.remove((this, queue, least))
                 if this.outcome is not None and this.outcome.what == "done":
                     value = this.outcome.value
                     assert value is not None and len(value.places) <= 1
-                    assert value.number >= least  # all that was done before it began
+                    assert value.number >= least  # includes every change completed before the round started
                     same = [before for before in done if before.number == value.number]
                     assert all(before == value for before in same)
                     done.append(value)
@@ -230,19 +232,19 @@
     return told
 
 
-def test_the_gate_calls_worse_what_is_and_nothing_else() -> None:
+def test_gate_detects_only_real_regressions() -> None:
     assert gated(0.97, 0.97).verdict is Verdict.FINE
-    assert gated(0.40, 0.40).verdict is Verdict.FINE  # it goes badly with both
+    assert gated(0.40, 0.40).verdict is Verdict.FINE  # both are equally bad
     assert gated(0.97, 0.96).verdict is Verdict.FINE  # within the margin
     assert gated(0.90, 0.97).verdict is Verdict.FINE  # better is not worse
     worse = gated(0.97, 0.80)
     assert worse.verdict is Verdict.WORSE and worse.stratum == "all" and worse.new == 0.8 and worse.chance < 0.01
-    assert gated(0.97, 0.5, 5, 8).verdict is Verdict.WAIT  # too few tries to say anything
+    assert gated(0.97, 0.5, 5, 8).verdict is Verdict.WAIT  # too few tries
     assert gated(0.97, 0.5, 301, 0).verdict is Verdict.UNTOLD
 
 
-def test_a_change_of_weight_between_groups_in_a_surge_is_no_difference() -> None:
-    """The new group gets most of its tries while all goes badly: pooled over time it would look far worse."""
+def test_gate_ignores_shifted_traffic_between_groups_in_a_surge() -> None:
+    """The new group gets most of its tries while both groups do badly; shares pooled over time would mislead."""
     gate = Gate(["all"], GateSettings(), 0.0)
     for second in range(1, 60):
         bad = second > 30
@@ -252,7 +254,7 @@
         assert gate.on_interval(found, float(second)).verdict is not Verdict.WORSE
 
 
-def test_a_regression_of_one_class_is_found_in_its_stratum_and_stays() -> None:
+def test_gate_detects_regression_of_one_class_and_keeps_the_verdict() -> None:
     gate = Gate(["all", "search", "tickets"], GateSettings(), 0.0)
     for second in range(1, 31):
         tallies = {
@@ -265,8 +267,8 @@
     assert gate.on_interval({"tickets": (Tally(800, 0), Tally(100, 100))}, 31.0).verdict is Verdict.WORSE
 
 
-def test_what_tells_equals_apart_is_no_fault_of_a_version() -> None:
-    """In overload one refuses in bursts and another does not: a newcomer as far off as those is no worse."""
+def test_gate_ignores_differences_as_large_as_between_old_members() -> None:
+    """In overload members with the old version differ, as some reject in bursts; an equal difference passes."""
     for told, verdict in ((True, Verdict.FINE), (False, Verdict.WORSE)):
         gate, shares, found = Gate(["service"], GateSettings(), 0.0), (0.95, 0.70, 0.90, 0.60), None
         for second in range(1, 41):
@@ -279,7 +281,7 @@
 # -- the store
 
 
-def test_what_was_written_is_read_and_nothing_else_passes_for_it(tmp_path: Path) -> None:
+def test_store_reads_what_it_wrote_and_rejects_corrupt_files(tmp_path: Path) -> None:
     store = Store(tmp_path)
     assert store.read() is None
     held = VoterState(7, "a", (2, "x"), (1, ""), VALUE, 3, {"b": 4})
@@ -316,7 +318,7 @@
     again.close()
 
 
-def test_a_disk_that_takes_nothing_is_told(tmp_path: Path) -> None:
+def test_store_reports_failed_write(tmp_path: Path) -> None:
     store = Store(tmp_path)
     (tmp_path / FILE).mkdir()  # nothing can be written there, not even by root
     with pytest.raises(Unusable, match="takes nothing"):
@@ -344,7 +346,7 @@
     assert len({voter.acceptor.state.register for voter in voters.values() if voter.acceptor is not None}) == 1
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "refused"
     assert isinstance(await asker.change(lambda v: places.set_limits(v, Limits(2), "x", 0.0)), Value)
-    # One that has lost its file does not become a new beginning: something was agreed since.
+    # A voter that lost its file is not initialized again, as changes were agreed since.
     voters["c"].close()
     (tmp_path / "c" / FILE).unlink()
     voters["c"] = Voter("c", tmp_path / "c")
@@ -352,7 +354,7 @@
     assert (await ReleaseCalls(asker).on_call("begin", ()))["status"] == "refused"
 
 
-def test_a_register_that_was_begun_at_some_voters_is_begun_at_the_rest_and_only_then(tmp_path: Path) -> None:
+def test_partly_initialized_register_is_completed_but_not_replaced(tmp_path: Path) -> None:
     play(begun_again, tmp_path)
 
 
@@ -364,7 +366,7 @@
     for writes, votes in ((6, True), (7, False)):
         voter.close()
         await voter.open()
-        assert isinstance(voter.answer(Prepare(7, (3, "x")), 0.0), Unable)  # it has heard nobody yet
+        assert isinstance(voter.answer(Prepare(7, (3, "x")), 0.0), Unable)  # no write counts received yet
         voter.on_write_counts("b", {"a": writes}, VALUE.voters)
         assert isinstance(voter.answer(Prepare(7, (3, "x")), 0.0), Promise) == votes
         if not votes:
@@ -375,7 +377,7 @@
             voter.store.write(msgspec.structs.replace(held, writes=6))  # as from a copy
 
 
-def test_a_voter_votes_once_a_majority_has_told_what_it_knows_of_it(tmp_path: Path) -> None:
+def test_voter_votes_after_a_majority_confirmed_its_write_count(tmp_path: Path) -> None:
     play(set_back, tmp_path)
 
 
@@ -426,7 +428,7 @@
 
 async def one_is_out_at_a_time_whoever_asks(tmp_path: Path) -> None:
     async def scenario(rig: Rig) -> None:
-        # Two operators in the same instant, at two instances: one of them is refused, and told by whom.
+        # Two concurrent requests at two instances: one is refused, and the refusal names the other.
         excuse(rig, "p3", "p4")
         answers: dict[str, Any] = {}
 
@@ -440,10 +442,10 @@
         gone = next(name for name, answer in answers.items() if answer["status"] == "done")
         other = next(name for name in answers if name != gone)
         assert answers[other]["out"] == [gone] and answers[other]["limit"] == "dispatchers"
-        # Its holder goes out by itself, and ends its drain with status 0.
+        # The holder drains by itself and exits with status 0.
         assert await rig.processes[gone].ended(12.0) == 0
         await agreed(rig, "p2", has("dispatcher", gone, "out"), 12.0)
-        # Time frees nothing; and asking twice is asking once.
+        # No time-out frees a place, and a repeated request changes nothing.
         await trio.sleep(4.0)
         assert (await rig.told("p1", f"drain dispatcher {other} again"))["status"] == "refused"
         assert (await rig.told("p1", f"drain dispatcher {gone} again"))["status"] == "done"
@@ -451,13 +453,13 @@
         await agreed(rig, "p2", lambda found: not found["places"], STARTED + 10.0)
         assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
 
-        # A host: out once every live dispatcher has said so, and then nothing comes to it.
+        # A host is out once every live dispatcher has reported it clear; then it gets no requests.
         assert (await rig.told("p1", "drain host w0 disk"))["status"] == "done"
         await agreed(rig, "p2", has("host", "w0", "out"))
         since = rig.truth.now
         no = await rig.told("p4", "drain host w1 disk")
         assert no["status"] == "refused" and no["out"] == ["w0"]
-        # One dispatcher that starts meanwhile hears of it before it serves for long.
+        # A dispatcher that starts meanwhile learns of it soon after it is ready.
         rig.truth.add("fault", kind="kill", who=["p4"], to=[], amount=1, until=rig.truth.now + 4.0)
         rig.kill("p4")
         rig.start("p4")
@@ -480,13 +482,13 @@
 
 async def a_minority_changes_nothing_and_a_lost_vote_is_taken_in(tmp_path: Path) -> None:
     async def scenario(rig: Rig) -> None:
-        # p0 votes, alone on its side of a cut.
+        # p0 votes and is alone on its side of a partition.
         others = [name for name in rig.processes if name != "p0"]
         rig.cut(["p0"], others)
         no = await rig.told("p0", "drain dispatcher p0 alone")
         assert no["status"] == "no-majority" and "no answer" in no["told"]
         assert not (await rig.told("p0", "out"))["agreed"]
-        # The others give it a place: its holder has no majority, and does not begin.
+        # The others grant it a place, but it does not begin without a majority.
         excuse(rig, "p0")
         assert await rig.settle(rig.terms.detection_bound(5) + rig.terms.spread_bound(5), among=others) is not None
         given = await rig.told("p1", "drain dispatcher p0 from here")
@@ -499,7 +501,7 @@
         assert await rig.settle(rig.terms.healing_bound(5)) is not None
         await agreed(rig, "p0", lambda found: found["agreed"] and not found["places"])
 
-        # The holder of a place is killed: the place stays, over the death of all, until it serves again.
+        # The holder of a place is killed: the place stays, even if all die, until it serves again.
         excuse(rig, *rig.processes)
         assert (await rig.told("p1", "drain host w2 disk"))["status"] == "done"
         rig.kill(*rig.processes)
@@ -523,7 +525,7 @@
     async def scenario(rig: Rig) -> None:
         file = {name: tmp_path / f"register-{name}" / FILE for name in ("p0", "p1", "p2")}
         old = file["p1"].read_bytes()
-        # A disk that takes nothing: the others are a majority; without one of them there is none, and it is told why.
+        # A disk that fails writes: the other voters are a majority; without one of them the refusal names the reason.
         whole = file["p2"].rename(tmp_path / "whole")
         file["p2"].mkdir()
         found = await rig.told("p3", "drain host w0 disk")
@@ -536,8 +538,8 @@
         whole.rename(file["p2"])
         found = await rig.told("p3", "return host w0 back")
         assert found["status"] == "done", found
-        await trio.sleep(1.0)  # each voter tells the others how many of its writes it knows of, with each look
-        # A file that was set back has promised what it does not know of: it does not vote until it is taken in.
+        await trio.sleep(1.0)  # voters exchange their write counts with each poll
+        # A file restored from an older copy has lost promises: the voter does not vote until it is reinstalled.
         file["p1"].write_bytes(old)
         rig.start("p1")
         assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
@@ -558,7 +560,7 @@
 async def holders_that_die_stop_or_fill_the_limit_by_themselves(tmp_path: Path) -> None:
     async def scenario(rig: Rig) -> None:
         excuse(rig, *rig.processes)
-        # Its holder is stopped before it has begun, and wakes: it begins only by what a majority says now.
+        # The holder is stopped before it begins and continues later: it begins only with a recent majority.
         rig.stop("p4")
         found = await rig.told("p0", "drain dispatcher p4 kernel")
         assert found["status"] == "done" and found["state"] == "given"
@@ -567,7 +569,7 @@
         rig.go_on("p4")
         assert await rig.settle(rig.terms.healing_bound(5)) is not None
         assert rig.processes["p4"].lives and (await rig.call("p4", "PING")).startswith("OK")
-        # Its holder dies in its drain: the place stays until it serves again.
+        # The holder dies while it drains: the place stays until it serves again.
         assert (await rig.told("p0", "drain dispatcher p4 kernel"))["status"] == "done"
         await agreed(rig, "p1", lambda found: any(row["begun"] for row in found["places"]))
         rig.kill("p4")
@@ -575,7 +577,7 @@
         assert (await rig.told("p1", "drain dispatcher p3 too"))["status"] == "refused"
         rig.start("p4")
         await agreed(rig, "p1", lambda found: not found["places"], STARTED + 10.0)
-        # One that crashed by itself fills the limit, and so does a limit that is lowered.
+        # A crashed member counts against the limit; a lowered limit refuses further requests.
         assert await rig.settle(rig.terms.healing_bound(5) + STARTED) is not None
         rig.kill("p3")
         assert await rig.settle(rig.terms.detection_bound(5)) is not None
@@ -618,7 +620,7 @@
     assert played(story) == ""
 
 
-def test_the_supplied_file_and_its_faults(tmp_path: Path) -> None:
+def test_supplied_settings_are_valid_and_faulty_ones_rejected(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "releases.toml").read_text()
     plan = config.operator_file(str(ROOT / "deploy" / "releases.toml"), 0.0).releases
     assert plan is not None and plan.limits == Limits(1, "20%", 1) and len(plan.voters) == 3
@@ -633,7 +635,7 @@
         refused(text, old, new, fault, tmp_path / "faulty.toml")
 
 
-def test_the_model_checker_finds_each_flawed_form_and_nothing_in_the_register() -> None:
+def test_model_checker_finds_each_seeded_flaw_and_none_in_the_register() -> None:
     assert check_register.walk("", 400, 1)["broken"] == ""
     assert check_register.explore("", 1500)["broken"] == ""
     assert {flaw: bool(check_register.walk(flaw, 3000, 2)["broken"]) for flaw in check_register.FLAWS} == dict.fromkeys(
