--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -287,7 +287,7 @@
             until = max(until, job.request.rank - usual)
         shut = self._all_banned(job.policy.places) or not self._may_attempt(job, now)
         if shut or now >= min(until, job.deadline - self.reply_margin):
-            # No attempt can follow, so the client is answered now; or waiting longer would make other jobs late.
+            # No attempt can follow, so answer now; or waiting longer would make other jobs late.
             return self._give_up(job)
         self.actions.append(Timer(now + HOLD_STEP, job.id * 4 + HOLD))
         self.queued[job.id] = job
