--- a/oxbowarch/hedging.py
+++ b/oxbowarch/hedging.py
@@ -1,4 +1,4 @@
-"""When a job whose answer may never come is sent a second time, while the first attempt is out."""
+"""Hedged requests: when a job is sent a second time while its first attempt is outstanding."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from oxbowarch.records import Attempt, Job
 
-COPY_AFTER = 1.0  # s without a start before a second copy
-COPY_FADE = 1 / 10.0  # 1/s; of the share of copies that were faster
-COPY_ROOM = 0.75  # share of slots busy from which a copy would take the place of another job
-LONG_RUN = 1.2  # logged excess of a run over the usual that calls for one
+COPY_AFTER = 1.0  # seconds without a start before a second copy
+COPY_FADE = 1 / 10.0  # decay of the share of faster copies (1/s)
+COPY_ROOM = 0.75  # busy share from which a copy would displace another job
+LONG_RUN = 1.2  # log of the run time over the usual from which a copy is due
 
 
 def overdue(job: Job, attempt: Attempt, usual: float, copies_win: bool, now: float) -> bool:
-    """Does this attempt wait or run for far too long?  `usual`: the logged usual run time of the job's class.
+    """Return whether this attempt waits or runs far too long; `usual` is the log of the class's usual run time.
 
-    Where copies mostly lose, a long run is a long job, which a copy would double: they are sent late there.
+    Where copies mostly lose, a long run means a long job, which a copy would only double: copies are sent late there.
     """
     if not attempt.started:
         return now - attempt.sent_at >= COPY_AFTER
--- a/oxbowarch/records.py
+++ b/oxbowarch/records.py
@@ -1,4 +1,4 @@
-"""What one instance remembers: plain records.  Nothing is decided here."""
+"""State of one instance of the decision module: plain records, no decisions."""
 
 from __future__ import annotations
 
@@ -12,59 +12,62 @@
 from oxbowarch.slow_start import SlowStartBudget
 
 
-SENDS_KEPT = 64  # times of attempts at one worker
-DOORS_KEPT = 256  # classes and tenants remembered for one worker
+SENDS_KEPT = 64  # times of the latest attempts at one worker
+REJECTION_KEYS_KEPT = 256  # classes and tenants with a rejection count at one worker
 
 
 class DecayedCount:
-    """A count N that decays since its last change at T: the state that EARRRL keeps."""
+    """A count that decays exponentially since its last change: EARRRL's count N and time T."""
 
     __slots__ = ("count", "at", "served_by")
 
     def __init__(self, now: float) -> None:
         self.count = 0.0
         self.at = now
-        self.served_by: list[Worker] = []  # for a key: workers that served it lately, the latest first
+        self.served_by: list[Worker] = []  # for a key: workers that served it, the latest first
 
     def note(self, worker: Worker, most: int) -> None:
+        """Record that the worker served the key; at most `most` workers are stored."""
         self.served_by = [worker, *(w for w in self.served_by if w is not worker)][:most]
 
     def read(self, decay: float, now: float) -> float:
-        """The count decayed to `now`; nothing changes."""
+        """Return the count decayed to `now`, without changing it."""
         return self.count * exp(decay * (self.at - now)) if self.count else 0.0
 
     def add(self, amount: float, decay: float, now: float) -> float:
-        """Decay to `now`, then add; returns the count as read before adding."""
+        """Decay the count to `now` and add; return the count before adding."""
         count = self.read(decay, now)
         self.count, self.at = count + amount, now
         return count
 
 
 class RateTable(OrderedDict[Hashable, DecayedCount]):
-    """Decayed counts by name; the least recently used are forgotten beyond `most`."""
+    """Decayed counts by name; beyond `most`, the least recently used is dropped."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
         self.most = most
 
     def add(self, name: Hashable, decay: float, now: float, amount: float = 1.0) -> float:
-        """Count one, or another amount; returns the count as read before."""
+        """Add to the count of a name; return the count before adding."""
         entry = self[name] = self.pop(name) if name in self else DecayedCount(now)
         if len(self) > self.most:
             self.popitem(last=False)
         return entry.add(amount, decay, now)
 
     def halve(self, name: Hashable) -> None:
+        """Halve the count of a name, if there is one."""
         if name in self:
             self[name].count /= 2
 
     def read(self, name: Hashable, decay: float, now: float) -> float:
+        """Return the count of a name decayed to `now`; 0 where there is none."""
         entry = self.get(name)
         return entry.read(decay, now) if entry else 0.0
 
 
 class MovingAverage:
-    """A mean of sightings in which older ones decay; starts from one sighting of 0."""
+    """An exponential moving average of observations; starts from one observation of 0."""
 
     __slots__ = ("observations", "total", "decay")
 
@@ -72,15 +75,17 @@
         self.observations, self.total, self.decay = DecayedCount(now), DecayedCount(now), decay
 
     def observe(self, value: float, now: float) -> None:
+        """Add an observation."""
         self.observations.add(1.0, self.decay, now)
         self.total.add(value, self.decay, now)
 
     def mean(self) -> float:
+        """Return the average as of the latest observation."""
         return self.total.count / (1.0 + self.observations.count)
 
 
 class MovingAverages(dict[int, MovingAverage]):
-    """A smoothed mean for each number that is asked for."""
+    """A moving average by number, created on first access."""
 
     def __init__(self, now: float, decay: float) -> None:
         super().__init__()
@@ -92,7 +97,7 @@
 
 
 class Worker:
-    """What this dispatcher knows of one worker."""
+    """The state that this dispatcher has of one worker."""
 
     __slots__ = (
         "id", "entry", "reported_free", "slots", "report_until", "no_room_until", "waiting", "rejected",
@@ -104,18 +109,18 @@
     def __init__(self, entry: Entry, tokens: float, now: float) -> None:
         self.id = entry.worker
         self.entry = entry
-        self.started_at = entry.started_at  # the latest that a list has told of; 0: long ago
-        self.restored_at = 0.0  # when an operator called it back; 0: never taken out
+        self.started_at = entry.started_at  # latest start time in a list; 0: long ago
+        self.restored_at = 0.0  # when an operator lifted its ban; 0: never banned
         self.send_times: deque[float] = deque(maxlen=SENDS_KEPT)  # times of own attempts
-        self.running: list[Attempt] = []  # own attempts that have started, where workers tell that
-        self.process_since = -inf  # start of the process that the counts below are about, where it is known
-        self.peer_outstanding: dict[int, tuple[int, float]] = {}  # attempts out of others, and until when that counts
+        self.running: list[Attempt] = []  # own attempts that have started, where workers report starts
+        self.process_since = -inf  # start of the process that the counts are of, if known
+        self.peer_outstanding: dict[int, tuple[int, float]] = {}  # by peer: its attempts here, valid until
         self.reset(tokens, now)
 
     def restart(self, tokens: float, attempts: Iterable[Attempt], now: float) -> None:
-        """A list tells that the process started at the entry's time: what was sent since then is in the new one.
+        """Reset to a process that a list says started at the entry's time; attempts sent since then are in it.
 
-        `attempts`: own ones that are out at this worker.  What others have out was told lately, and stands.
+        `attempts`: own outstanding ones at this worker.  Counts of peers are recent, and stay.
         """
         started_at = min(self.started_at, now)
         others = self.peer_outstanding
@@ -127,27 +132,27 @@
         self.slow_start = SlowStartBudget(tokens - sum(at >= started_at for at in self.send_times), started_at)
 
     def reset(self, tokens: float, now: float, out: int = 0) -> None:
-        """A new process: nothing learned of the old one holds, but for own attempts that may still be out there."""
-        self.reported_free = 0.0  # free slots by the latest report, counted before own sends that are out
-        self.slots = 0.0  # slots, as far as seen
-        self.report_until = -inf  # until then the report is good
-        self.outstanding = out  # own attempts out
+        """Reset to a new process: keep nothing but `out`, own attempts that may still be outstanding."""
+        self.reported_free = 0.0  # free slots by the latest report, plus own attempts it included
+        self.slots = 0.0  # number of slots, as far as known
+        self.report_until = -inf  # the report is valid until then
+        self.outstanding = out  # own outstanding attempts
         self.running = []
-        self.slowdown_total = DecayedCount(now)  # sum of its logged run times over the usual
-        self.slowdown_count = DecayedCount(now)  # number of them
-        self.waiting = 0  # own attempts there that have not started, where workers tell that
-        self.no_room_until = -inf  # until then a report of no room shuts it out
-        self.rejected = RateTable(DOORS_KEPT)  # N and T of 'full', for each class and tenant
-        self.lagged_outstanding, self.lagged_at = 0.0, now  # own attempts out as a late report shows them
+        self.slowdown_total = DecayedCount(now)  # sum of log(run time / usual run time of the class)
+        self.slowdown_count = DecayedCount(now)  # number of those run times
+        self.waiting = 0  # own attempts that have not started, where workers report starts
+        self.no_room_until = -inf  # a report without free slots excludes the worker until then
+        self.rejected = RateTable(REJECTION_KEYS_KEPT)  # decayed counts of FULL by class and tenant
+        self.lagged_outstanding, self.lagged_at = 0.0, now  # own attempts as a late report shows them
         self.failures = 0  # failures since the last success
-        self.rejections = 0  # calls that it turned away since the last that it served
+        self.rejections = 0  # rejections since the last success
         self.shunned_until = -inf
         self.slow_start = SlowStartBudget(tokens, now)
-        self.published_at = -inf  # when the others were last told of it
+        self.published_at = -inf  # when a note on it was last broadcast
         self.peer_outstanding = {}
 
     def change_outstanding(self, change: int, decay: float, now: float) -> float:
-        """Change the number of own attempts out; returns how many were out a moment ago."""
+        """Change the number of own outstanding attempts; return a lagged average of that number."""
         self.lagged_outstanding += (self.outstanding - self.lagged_outstanding) * (
             1.0 - exp(decay * (self.lagged_at - now))
         )
@@ -156,26 +161,26 @@
         return self.lagged_outstanding
 
     def record_peer(self, peer: int, out: int, now: float, until: float) -> None:
-        """What another dispatcher has out here; who has nothing is not kept, as all that is kept is added up often."""
+        """Set a peer's outstanding attempts here, valid until `until`; 0 is not stored, as the sum is taken often."""
         self.peer_outstanding.pop(peer, None)
         while self.peer_outstanding and next(iter(self.peer_outstanding.values()))[1] <= now:
-            # A peer that has died sends no more notes: of a thousand that would add up.
+            # Entries of dead peers would add up: they are never updated.
             del self.peer_outstanding[next(iter(self.peer_outstanding))]
         if out:
             self.peer_outstanding[peer] = out, until
 
     def total_outstanding(self, now: float) -> int:
-        """Attempts out there, of this dispatcher and of all others as far as they tell."""
+        """Return the outstanding attempts of this dispatcher and of all peers by their notes."""
         return self.outstanding + sum(out for out, until in self.peer_outstanding.values() if now < until)
 
     def record_slowdown(self, slowdown: float, decay: float, now: float) -> None:
-        """One job ended here; `slowdown` is its logged run time over the usual."""
+        """Record an ended job; `slowdown` is the log of its run time over the usual."""
         self.slowdown_total.add(slowdown, decay, now)
         self.slowdown_count.add(1.0, decay, now)
 
 
 class Window:
-    """Times within the last `span` seconds, its very edge included."""
+    """Times within the last `span` seconds, the edge included."""
 
     __slots__ = ("span", "times")
 
@@ -184,33 +189,35 @@
         self.times: deque[float] = deque()
 
     def add(self, now: float) -> None:
+        """Add the time `now`."""
         self.count(now)
         self.times.append(now)
 
     def count(self, now: float) -> int:
+        """Drop the times before the window; return the number of those within."""
         while self.times and self.times[0] < now - self.span:
             self.times.popleft()
         return len(self.times)
 
 
 class Attempt:
-    """One send of a job to a worker."""
+    """One sending of a job to a worker."""
 
     __slots__ = ("worker", "job_class", "entry", "sent_at", "outstanding", "may_have_run", "started", "waits")
 
     def __init__(self, worker: Worker, job_class: int, now: float, tells_start: bool) -> None:
         self.worker = worker
         self.job_class = job_class
-        self.entry = worker.entry  # where it was sent, whatever the list says of that worker later
+        self.entry = worker.entry  # the listing at the time of sending
         self.sent_at = now
         self.outstanding = self.may_have_run = True
-        self.started = 0.0  # when it began to run, as far as workers tell; 0: not known
+        self.started = 0.0  # when it began to run, if reported; 0: unknown
         self.waits = tells_start  # counted as waiting at its worker
         worker.waiting += tells_start
 
     @property
     def counts(self) -> bool:
-        """Did it go to the process that its worker's counts are about?"""
+        """Whether it went to the process that its worker's counts are of."""
         return self.sent_at >= self.worker.process_since
 
     def _no_longer_waits(self) -> None:
@@ -219,20 +226,22 @@
             self.worker.waiting = max(0, self.worker.waiting - self.counts)
 
     def start(self, now: float) -> None:
+        """Record that the worker has begun to run it."""
         if self.outstanding and not self.started and self.counts:
             self.worker.running.append(self)
         self.started = self.started or now
         self._no_longer_waits()
 
     def end(self, may_have_run: bool) -> None:
+        """Record that it has ended."""
         self.outstanding, self.may_have_run = False, may_have_run
-        if self in self.worker.running:  # not after a restart of the worker
+        if self in self.worker.running:  # false after a restart of the worker
             self.worker.running.remove(self)
         self._no_longer_waits()
 
 
 class Job:
-    """A request that this dispatcher owes an answer."""
+    """A request that this dispatcher has admitted, until it is answered and no attempt is outstanding."""
 
     __slots__ = (
         "id", "request", "policy", "since", "deadline", "attempts", "outstanding", "has_timer",
@@ -242,36 +251,36 @@
     def __init__(self, request: Request, settings: Settings, now: float) -> None:
         self.id = request.id
         self.request = request
-        # Its rule and bound for good: settings that change while it is open are for others.
+        # Fixed for the life of the job: new settings apply to later jobs.
         self.policy = settings.classes[request.job_class]
         self.max_attempts = min(settings.max_attempts, self.policy.max_attempts)
         self.since = now
         self.deadline = now + request.budget
         self.attempts: list[Attempt] = []
-        self.outstanding = 0  # attempts that are out
-        self.has_timer = False  # its answering timer is set
-        self.rejection_keys = ("class", request.job_class), ("tenant", request.tenant)  # whom a worker may turn away
-        self.ended = False  # answered; kept only until the last attempt has come back
+        self.outstanding = 0  # number of outstanding attempts
+        self.has_timer = False  # the timer that answers it before its deadline is set
+        self.rejection_keys = ("class", request.job_class), ("tenant", request.tenant)  # by which workers may reject
+        self.ended = False  # answered; stored until its last attempt has ended
 
     def ran_first(self) -> Attempt | None:
-        """The first attempt that may have run, if any."""
+        """Return the first attempt that may have run, if any."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 class Jobs(dict[int, Job]):
-    """The jobs that a dispatcher owes an answer, by their ids."""
+    """The open jobs of a dispatcher, by id."""
 
     def queue(self, part: float) -> bool:
-        """Do more attempts wait at workers than one, and this part of those that run?"""
+        """Return whether more attempts wait at workers than one plus `part` times those that run."""
         out = [attempt for job in self.values() for attempt in job.attempts if attempt.outstanding]
         waiting = sum(attempt.waits for attempt in out)
         return waiting > 1 + part * (len(out) - waiting)
 
 
 class KeyRing:
-    """Consistent hashing: each worker owns points on a ring, so a change of the list moves few keys."""
+    """A consistent hash ring: each worker owns points on it, so a change of the list moves few keys."""
 
-    POINTS = 32  # of each worker; more spread the keys more evenly
+    POINTS = 32  # per worker; more points spread the keys more evenly
 
     def __init__(self, workers: list[Worker]) -> None:
         order = sorted((crc32(w.id + bytes((n,))), i) for i, w in enumerate(workers) for n in range(self.POINTS))
@@ -280,21 +289,23 @@
         self.owners = [workers[i] for _, i in order]
 
     def owner(self, key: int, step: int) -> Worker:
-        """Who owns the point that many steps after the key's own place."""
+        """Return the owner of the point `step` points after the key's position."""
         start = bisect_left(self.points, crc32(key.to_bytes(8, "little")))
         return self.owners[(start + step) % len(self.owners)]
 
 
 class Homes:
-    """Which dispatchers go to which workers first: equal stripes of the workers, in the order of their hashes.  A
-    change of the list moves each stripe by little."""
+    """The home workers that each dispatcher prefers: equal ranges of the workers ordered by hash.
 
-    FEWEST = 2  # workers of one dispatcher
+    A change of the list moves each range by little.
+    """
+
+    MIN_WORKERS = 2  # home workers of one dispatcher
 
     def __init__(self, workers: list[Worker], dispatchers: int, of: float) -> None:
-        """Each worker is home to about `of` dispatchers."""
+        """Make each worker home to about `of` dispatchers."""
         order, size = sorted(workers, key=lambda worker: crc32(worker.id)), len(workers)
-        many = min(size, max(self.FEWEST, ceil(of * size / dispatchers)))
+        many = min(size, max(self.MIN_WORKERS, ceil(of * size / dispatchers)))
         self._of = [[order[(n * size // dispatchers + k) % size] for k in range(many)] for n in range(dispatchers)]
         self._at: dict[bytes, list[int]] = {}
         for n, homes in enumerate(self._of):
@@ -302,11 +313,13 @@
                 self._at.setdefault(worker.id, []).append(n)
 
     def of(self, dispatcher: int) -> list[Worker]:
+        """Return the home workers of a dispatcher."""
         return self._of[dispatcher] if dispatcher < len(self._of) else []
 
     def has(self, worker: Worker, dispatcher: int) -> bool:
+        """Return whether the worker is home to the dispatcher."""
         return dispatcher in self._at.get(worker.id, ())
 
     def others(self, worker: Worker, dispatcher: int) -> tuple[int, ...]:
-        """The other dispatchers at home there."""
+        """Return the other dispatchers that the worker is home to."""
         return tuple(n for n in self._at.get(worker.id, ()) if n != dispatcher)
--- a/oxbowarch/refusal.py
+++ b/oxbowarch/refusal.py
@@ -1,4 +1,4 @@
-"""Why a job ends without a result."""
+"""The reason why a job ends without a result."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from oxbowarch.records import Job
 
 
-def reason_of(job: Job, shut: bool) -> RefusalReason:
-    """The reason for a job that is given up; `shut`: an operator has taken out all workers that may run it."""
-    if shut:
+def reason_of(job: Job, all_banned: bool) -> RefusalReason:
+    """Return why a job is given up; `all_banned`: an operator has banned all workers that may run it."""
+    if all_banned:
         return RefusalReason.NO_WORKER
     if len(job.attempts) >= job.max_attempts:
         return RefusalReason.ATTEMPTS_SPENT
