--- a/oxbowarch/interface.py
+++ b/oxbowarch/interface.py
@@ -1,13 +1,12 @@
-"""What the decision module (brain.py) is told and what it answers.
-
-Units: seconds on the caller's clock, slots, requests a second.  Ownership: a request handed to
-`on_request` is the module's until it returns Refuse or Fail, or an outcome arrives with `closed`
-set, or `on_withdrawn` names it.  Order: events go in as they arrive; the actions returned are to be
-carried out in the order given, before the next event.  Restart: make a new Brain and hand it the
-last list first; it remembers nothing.  Where workers tell that a job starts, hand it to `on_started`; a load
-report that comes outside any outcome goes to `on_report`, and what another dispatcher tells to `on_told`.  Where
-contracts are kept, `Request` tells each job's standing and rank; a job for which no room to wait is left is handed in
-with no `spare`, and refused.  Late, repeated or unknown ids are ignored.
+"""Inputs and outputs of the decision module (brain.py).
+
+Units: seconds on the caller's clock, slots, requests a second.  Ownership: the module owns a request passed to
+`on_request` until it returns Refuse or Fail, an outcome arrives with `closed` set, or `on_withdrawn` names it.
+Order: pass events in as they arrive; carry out the returned actions in the order given, before the next event.
+Restart: make a new Brain, which starts without state, and pass it the last list first.  Pass reported starts of jobs
+to `on_started`, load reports outside any outcome to `on_report`, and notes of other dispatchers to `on_notes`.  Where
+contracts apply, `Request` states each job's standing and rank; pass a job that there is no capacity to queue with a
+`reply_capacity` of 0, and it is refused.  Late, repeated or unknown ids are ignored.
 """
 
 from __future__ import annotations
@@ -18,30 +17,30 @@
 from typing import NamedTuple, Protocol
 
 WorkerId = bytes
-MAX_BALANCERS = 65_535  # the simulator's wire numbers them by two bytes; a list is kept of as many
-Places = tuple[tuple[int, ...] | None, tuple[int, ...] | None]  # machine kinds and zones; None: any
+MAX_BALANCERS = 65_535  # the simulator's wire numbers dispatchers with two bytes
+Places = tuple[tuple[int, ...] | None, tuple[int, ...] | None]  # machine kinds and zones; None means any
 
 
 class Effect(Enum):
-    """What repeating a request of a class does."""
+    """The effect of repeating a request of a class."""
 
     SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # a group of workers drops repeats within a window
-    UNSAFE = "unsafe"  # only when no earlier attempt can have run
+    KEYED = "keyed"  # repeats within a window are dropped by a group of workers
+    UNSAFE = "unsafe"  # may be repeated only when no earlier attempt can have run
 
 
 class RefusalReason(Enum):
     """Why a request was refused or failed without a result."""
 
-    BEYOND_LIMIT = "beyond_limit"  # beyond its tenant's limit, or within it where all is overloaded
-    DRAINING = "draining"  # few means to answer clients are left
-    OUT_OF_TIME = "out_of_time"  # held for a free worker, up to its aim or its deadline
+    BEYOND_LIMIT = "beyond_limit"  # beyond its tenant's limit, or within it under overload
+    DRAINING = "draining"  # little reply capacity is left
+    OUT_OF_TIME = "out_of_time"  # queued for a free worker until its aim or its deadline
     ATTEMPTS_SPENT = "attempts_spent"  # no further attempt may go out
-    NO_WORKER = "no_worker"  # an operator has taken out all there is
+    NO_WORKER = "no_worker"  # an operator has banned all workers
 
 
 class Group(Enum):
-    """Which workers drop each other's repeats of a keyed request."""
+    """The workers among which repeats of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -65,19 +64,25 @@
 
 
 class State(Enum):
+    """The state of a listed worker."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    CACHED = "cached"  # the whole list as last held before a restart, perhaps stale
+    """What a list event contains."""
+
+    CACHED = "cached"  # the whole list as stored before a restart, perhaps stale
     FULL = "full"  # the whole list
     CHANGES = "changes"  # only the entries that changed
     FAILED = "failed"  # a call failed or the subscription broke; no entries
 
 
 class Reports(Enum):
+    """How load reports arrive."""
+
     WITH_ANSWERS = "answers"
     BY_PROBE = "probe"
     NONE = "none"
@@ -85,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """Required: effect.  Times in seconds.
+    """The settings of a class of jobs.  Required: effect.  Times in seconds.
 
     `kinds` and `zones` are the only machine kinds and zones that jobs of the class may be sent to; None: any.
     """
@@ -93,23 +98,24 @@
     effect: Effect
     group: Group = Group.ALL
     repeat_window: float = 0.0
-    aim: float = 1.0  # answered within this earns the full worth
+    aim: float = 1.0  # an answer within this time earns the full worth
     stretch: float = 0.0  # the aim grows by this many times the job's own run time
     give_up: float = 5.0
     late_share: float = 0.0
     worth: float = 1.0
     stream: bool = False
-    max_attempts: int = 1_000_000  # of one request; the settings' own limit holds besides
+    max_attempts: int = 1_000_000  # of one request; Settings.max_attempts applies too
     kinds: tuple[int, ...] | None = None
     zones: tuple[int, ...] | None = None
 
     @property
     def places(self) -> Places:
+        """The kinds and zones that jobs of the class are bound to."""
         return self.kinds, self.zones
 
 
 class AttemptBudget(NamedTuple):
-    """In any `span` seconds: at most `free` further attempts plus `share` of the requests taken."""
+    """The retry budget: in any `span` seconds at most `free` retries plus `share` times the requests received."""
 
     free: float
     share: float
@@ -118,9 +124,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Required: balancers, zone and classes; the rest is optional.
+    """The settings of the module.  Required: balancers, zone and classes.
 
-    `limits` holds each tenant's requests a second over all balancers, by the number of the tenant.
+    `limits` has each tenant's requests a second over all balancers, by tenant number.
     """
 
     balancers: int
@@ -128,23 +134,25 @@
     classes: tuple[JobClass, ...]
     limits: tuple[float, ...] = ()
     reports: Reports = Reports.NONE
-    me: int = 0  # which of the balancers this is
-    shares_notes: bool = False  # dispatchers may send one another notes
-    list_on_request: bool = False  # the list comes only when asked for
-    max_list_retry: float = 10.0
-    drain_within: float = 3.0  # s after it is told that a worker drains or is gone, when nothing more may go there
+    me: int = 0  # number of this balancer
+    shares_notes: bool = False  # dispatchers send one another notes
+    list_on_request: bool = False  # the list is sent only on request
+    max_list_retry: float = 10.0  # seconds, longest wait between requests for the list
+    drain_within: float = (
+        3.0  # seconds from the news that a worker drains or is gone, until which attempts may still go there
+    )
     can_cancel: bool = False
     hedging: bool = False
     max_attempts: int = 3
-    max_retry_after: float = 0.0  # 0: clients take no such advice
+    max_retry_after: float = 0.0  # seconds; 0: clients ignore such advice
     tells_start: bool = False
-    tick: float = 0.005  # shortest gap between two rounds of events
-    cold_from: float = 1.0  # a started worker has at least this share of its capacity
-    warm_up: float = 0.0
-    cold_factor: float = 4.0  # times its present capacity that a cold worker may be sent, of all balancers together
-    cold_span: float = 2.0  # s for which it bears that
-    budget: AttemptBudget | None = None  # None: further attempts are not rationed
-    full_never_ran: bool = True  # an attempt answered 'full' never ran
+    tick: float = 0.005  # seconds, shortest time between two rounds of events
+    cold_from: float = 1.0  # least share of its capacity that a started worker has
+    warm_up: float = 0.0  # seconds
+    cold_factor: float = 4.0  # multiple of its present capacity that all balancers may send a cold worker
+    cold_span: float = 2.0  # seconds for which it bears that
+    budget: AttemptBudget | None = None  # None: retries are not limited
+    full_never_ran: bool = True  # a FULL response proves that the attempt never ran
 
     def __post_init__(self) -> None:
         for name, low in (("balancers", 1), ("zone", 0), ("max_attempts", 1), ("tick", 0), ("warm_up", 0)):
@@ -181,7 +189,7 @@
 
 
 class Report(NamedTuple):
-    """A worker's load report; None: not among the site's values, or not a sane number."""
+    """A worker's load report; None: not reported, or not a plausible number."""
 
     free: float | None = None
     queue: float | None = None
@@ -189,17 +197,20 @@
 
 
 class RetryBudget(Protocol):
-    """A budget that pays for attempts beyond the first.  It only counts: whether one goes out is the module's say."""
+    """A budget for attempts beyond the first.  It only counts; the module decides whether one goes out."""
 
-    def left(self, now: float) -> float: ...
+    def left(self, now: float) -> float:
+        """Return the attempts left."""
 
-    def pay(self, now: float) -> None: ...
+    def pay(self, now: float) -> None:
+        """Count an attempt."""
 
-    def give_back(self, now: float) -> None: ...
+    def give_back(self, now: float) -> None:
+        """Return a counted attempt that was never sent."""
 
 
 class UnlimitedRetries:
-    """The purse of a request for which no contract pays."""
+    """The retry budget of a request without a contract."""
 
     def left(self, now: float) -> float:
         return inf
@@ -215,20 +226,24 @@
 
 
 class Request(NamedTuple):
+    """A client's request."""
+
     id: int
     job_class: int
     budget: float  # seconds until the client gives up on this try
     tenant: int = 0
     key: int = 0  # 0: none
     slots: float = 1.0
-    repeat: bool = False  # a client's marked repeat
-    reply_capacity: float = 1.0  # how far the means to answer clients by go, as in a drain: 1 enough, 0 nothing left
-    beyond: bool | None = None  # beyond its contract's share, or within; None: no contracts are kept
-    rank: float = 0.0  # of what waits, within before beyond, the lowest first; within it is when it is wanted
-    retry_budget: RetryBudget = UNLIMITED_RETRIES  # pays for its further attempts, besides the settings' budget
+    repeat: bool = False  # the client marked it as a repeat
+    reply_capacity: float = 1.0  # capacity left to answer clients, as in a drain: 1 enough, 0 none
+    beyond: bool | None = None  # beyond its contract's share; None: no contracts apply
+    rank: float = 0.0  # queue order, after `beyond`: lowest first; within the share, the time when it is due
+    retry_budget: RetryBudget = UNLIMITED_RETRIES  # for its retries, besides Settings.budget
 
 
 class Outcome(NamedTuple):
+    """The end of an attempt; `closed`: the request is answered; `took` in seconds."""
+
     id: int
     attempt: int
     worker: WorkerId
@@ -239,7 +254,7 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; a time-out of 0 lasts until the client gives up."""
+    """Start an attempt; a timeout of 0 means until the client gives up."""
 
     id: int
     worker: WorkerId
@@ -247,20 +262,28 @@
 
 
 class Refuse(NamedTuple):
+    """Refuse a request; `retry_after` in seconds."""
+
     id: int
     retry_after: float = 0.0
 
 
 class Fail(NamedTuple):
+    """Answer a request as failed."""
+
     id: int
 
 
 class Cancel(NamedTuple):
+    """Cancel an attempt."""
+
     id: int
     attempt: int
 
 
 class Timer(NamedTuple):
+    """Call `on_timer` with the token at that time."""
+
     at: float  # clock time
     token: int
 
@@ -270,22 +293,24 @@
 
 
 class Note(NamedTuple):
-    """What one dispatcher tells the others of a worker; it stands until the next one, or until it is old."""
+    """One dispatcher's state of a worker, for the others; valid until the next note or until it expires."""
 
     worker: WorkerId
-    outstanding: int  # attempts that the teller has out there now
-    slowdown: float | None = None  # of one that has just ended there: its logged run time over the usual of its class
-    failed: bool = False  # one has just failed there
+    outstanding: int  # the sender's outstanding attempts there
+    slowdown: float | None = None  # of an attempt that has just ended: log of run time over the usual
+    failed: bool = False  # an attempt has just failed there
 
 
 class SendNotes(NamedTuple):
-    """Tell some other dispatchers, or all; it may come late, out of order, twice or not at all."""
+    """Send notes to some other dispatchers, or all; they may arrive late, out of order, twice or never."""
 
     notes: tuple[Note, ...]
-    to: tuple[int, ...] | None = None  # their numbers; None: all
+    to: tuple[int, ...] | None = None  # numbers of dispatchers; None: all
 
 
 class Log(NamedTuple):
+    """Write a log line."""
+
     text: str
 
 
--- a/oxbowarch/slow_start.py
+++ b/oxbowarch/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: what a worker that has just started may be sent.
+"""Slow start: the rate at which a worker that has just started may be sent calls.
 
-The budget counts calls that were sent, however they ended, and holds until the worker is warm: calls that it turns away
-or resets are a load on it like those that it serves.
+The budget counts all calls sent, however they end, until the worker is warm: calls that it rejects or resets load it
+like those that it serves.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     from oxbowarch.records import MovingAverage
 
-TOKENS_MOST = 1.0  # calls that one dispatcher may save up for one worker
+MAX_TOKENS = 1.0  # unused calls that one dispatcher may accumulate for one worker
 
 
 def warmth(settings: Settings, started_at: float, now: float) -> float:
-    """The least share of its capacity that a worker has now; 0 as its start means long ago."""
+    """Return the least share of its capacity that a worker has now; a `started_at` of 0 means long ago."""
     age = now - started_at
     if not started_at or age >= settings.warm_up:
         return 1.0
@@ -27,7 +27,7 @@
 
 
 def capacity(slots: float, runs: Iterable[MovingAverage]) -> float:
-    """Calls a second that so many slots can run; inf where `runs`, the logged run times of classes, has none."""
+    """Return the calls a second that so many slots can run; inf without `runs`, logs of run times by class."""
     seen = [(run.observations.count, exp(run.mean())) for run in runs if run.observations.count]
     calls = sum(count for count, _ in seen)
     seconds = sum(count * mean for count, mean in seen)
@@ -35,11 +35,11 @@
 
 
 def sender_rate(settings: Settings, warm_rate: float, share: float, senders: int | None, peers_heard: bool) -> float:
-    """Calls a second that one dispatcher may send to a worker that has this share of its capacity.
+    """Return the calls a second that one dispatcher may send to a worker at this share of its capacity.
 
-    `warm_rate`: calls a second that a warm one gets, of all.  `senders`: how many send to this worker; None where
-    dispatchers tell one another nothing, and each keeps to its part of what the worker can do.  The terms leave some
-    calls to chance: where peers are heard, the root of those allowed in the span is spent, a third of that slack.
+    `warm_rate`: calls a second that a warm worker gets from all.  `senders`: dispatchers that send to this worker; None
+    where they exchange no notes, and each uses its part of the worker's capacity.  The allowance has slack for chance:
+    where notes arrive, the square root of the calls allowed in the span is added, a third of that slack.
     """
     if senders is None:
         return warm_rate * share / settings.balancers
@@ -48,20 +48,20 @@
 
 
 class SlowStartBudget:
-    """What one dispatcher may still send to one worker in slow start: a token bucket."""
+    """A token bucket of the calls that one dispatcher may send to one worker in slow start."""
 
     __slots__ = ("tokens", "at")
 
     def __init__(self, tokens: float, now: float) -> None:
-        """`tokens`: below 1, by chance, so that dispatchers of little traffic share a worker's first calls."""
+        """`tokens`: random, below 1, so that dispatchers with little traffic share a worker's first calls."""
         self.tokens, self.at = tokens, now
 
     def earn(self, rate: float, now: float) -> float:
-        """The tokens as of `now`, where they come in at `rate` a second since last asked."""
-        self.tokens = min(TOKENS_MOST, self.tokens + (now - self.at) * rate)
+        """Add tokens at `rate` a second since the last call; return the tokens at `now`."""
+        self.tokens = min(MAX_TOKENS, self.tokens + (now - self.at) * rate)
         self.at = now
         return self.tokens
 
     def pay(self) -> None:
-        """One call is sent."""
+        """Spend a token on a call."""
         self.tokens -= 1.0
