--- a/oxbowarch/handover.py
+++ b/oxbowarch/handover.py
@@ -1,6 +1,4 @@
-"""What one process of a dispatcher leaves to the next: the module's memory as plain values, by name, with ages for
-times.  Nothing is decided here.
-"""
+"""The hand-over of the module's state to the successor process: plain values by name, with ages for times."""
 
 from __future__ import annotations
 
@@ -11,29 +9,29 @@
 from oxbowarch.brain import Brain
 from oxbowarch.records import DecayedCount, MovingAverage, Window
 
-TIMES_MOST = 4096  # of a window
-FORGET = 100.0  # s; what is older than this says nothing any more
+MAX_TIMES = 4096  # of a window
+MAX_SHUN_TIME = 100.0  # seconds
 SMOOTHED = ("near", "away", "late", "full", "failing", "won")
 
 
 def export_state(brain: Brain, classes: Sequence[str], tenants: Mapping[str, int], now: float) -> dict[str, Any]:
-    """The memory of a module that may go on serving; `classes` and `tenants` are its names and numbers."""
+    """Return the state of a module, which may go on serving; `classes` and `tenants` give names to its numbers."""
     return {
         "age": now - brain.started_at,
         "banned": [name.decode() for name in brain.banned],
-        "rates": {name: _count(brain.rates[n], now) for name, n in tenants.items() if n in brain.rates},
-        "offered": _count(brain.offered, now),
-        "admitted": _count(brain.admitted, now),
-        "taken": [now - at for at in brain.requests.times][-TIMES_MOST:],
-        "further": [now - at for at in brain.retries.times][-TIMES_MOST:],
-        "smoothed": {name: _mean(getattr(brain, name), now) for name in SMOOTHED},
-        "runs": {name: _mean(brain.run_times[n], now) for n, name in enumerate(classes) if n in brain.run_times},
-        "usual": [[kind, _mean(mean, now)] for kind, mean in brain.usual_free.items()],
+        "rates": {name: _encode_count(brain.rates[n], now) for name, n in tenants.items() if n in brain.rates},
+        "offered": _encode_count(brain.offered, now),
+        "admitted": _encode_count(brain.admitted, now),
+        "taken": [now - at for at in brain.requests.times][-MAX_TIMES:],
+        "further": [now - at for at in brain.retries.times][-MAX_TIMES:],
+        "smoothed": {name: _encode_mean(getattr(brain, name), now) for name in SMOOTHED},
+        "runs": {name: _encode_mean(brain.run_times[n], now) for n, name in enumerate(classes) if n in brain.run_times},
+        "usual": [[kind, _encode_mean(mean, now)] for kind, mean in brain.usual_free.items()],
         "most": brain.max_free,
         "workers": {
             worker.id.decode(): {
                 "size": worker.slots, "strikes": worker.failures, "shunned": max(0.0, worker.shunned_until - now),
-                "pace": [_count(worker.slowdown_total, now), _count(worker.slowdown_count, now)],
+                "pace": [_encode_count(worker.slowdown_total, now), _encode_count(worker.slowdown_count, now)],
                 "credit": max(-9.0, worker.slow_start.tokens),
                 "back": now - worker.restored_at if worker.restored_at else 0.0,
             } for worker in brain.workers.values()
@@ -43,70 +41,72 @@
 
 def restore_state(brain: Brain, memory: Mapping[str, Any], classes: Sequence[str], tenants: Mapping[str, int],
          now: float) -> None:  # fmt: skip
-    """Fill a new module, which has its list.  ValueError, KeyError or TypeError where the memory is no good: the
-    module is to be thrown away then, as half of it may be filled."""
+    """Load the state into a new module that has its list.
+
+    Raises ValueError, KeyError or TypeError for an invalid state: discard the module then, it may be partly filled.
+    """
     if not isinstance(memory["banned"], list):
-        raise ValueError("banned: a list is wanted")
+        raise ValueError("banned must be a list")
     for name in memory["banned"]:
         brain.on_ban(name.encode(), True, now)
-    brain.started_at = now - _sane(memory["age"], 1e9)
+    brain.started_at = now - _checked(memory["age"], 1e9)
     for name, found in memory["rates"].items():
         if name in tenants:
-            brain.rates[tenants[name]] = _counted(found, now)
-    brain.offered, brain.admitted = _counted(memory["offered"], now), _counted(memory["admitted"], now)
-    _filled(brain.requests, memory["taken"], now)
-    _filled(brain.retries, memory["further"], now)
+            brain.rates[tenants[name]] = _decode_count(found, now)
+    brain.offered, brain.admitted = _decode_count(memory["offered"], now), _decode_count(memory["admitted"], now)
+    _fill_window(brain.requests, memory["taken"], now)
+    _fill_window(brain.retries, memory["further"], now)
     for name in SMOOTHED:
-        _smooth(getattr(brain, name), memory["smoothed"][name], now)
+        _restore_average(getattr(brain, name), memory["smoothed"][name], now)
     numbers = {name: n for n, name in enumerate(classes)}
     for name, found in memory["runs"].items():
         if name in numbers:
-            _smooth(brain.run_times[numbers[name]], found, now)
+            _restore_average(brain.run_times[numbers[name]], found, now)
     for kind, found in memory["usual"]:
-        _smooth(brain.usual_free[int(kind)], found, now)
-    brain.max_free = max(brain.max_free, _sane(memory["most"], 1000.0))
+        _restore_average(brain.usual_free[int(kind)], found, now)
+    brain.max_free = max(brain.max_free, _checked(memory["most"], 1000.0))
     for name, found in memory["workers"].items():
         worker = brain.workers.get(name.encode())
         if worker is None:
             continue
-        worker.slots, worker.failures = _sane(found["size"], 1e6), int(_sane(found["strikes"], 99.0))
-        worker.shunned_until = now + _sane(found["shunned"], FORGET)
-        worker.slowdown_total, worker.slowdown_count = (_counted(part, now) for part in found["pace"])
-        worker.slow_start.tokens = _sane(found["credit"], 9.0)
-        worker.restored_at = now - _sane(found["back"], 1e9) if found["back"] else 0.0
+        worker.slots, worker.failures = _checked(found["size"], 1e6), int(_checked(found["strikes"], 99.0))
+        worker.shunned_until = now + _checked(found["shunned"], MAX_SHUN_TIME)
+        worker.slowdown_total, worker.slowdown_count = (_decode_count(part, now) for part in found["pace"])
+        worker.slow_start.tokens = _checked(found["credit"], 9.0)
+        worker.restored_at = now - _checked(found["back"], 1e9) if found["back"] else 0.0
 
 
 def clear_quotas(brain: Brain) -> None:
-    """The successor has the windows and what is free in any span: what goes on here earns its own."""
+    """Clear the windows of the retry budget: the successor has them, and this process earns its own from now on."""
     brain.requests.times.clear()
     brain.retries.times.clear()
 
 
-def _sane(value: Any, most: float) -> float:
+def _checked(value: Any, most: float) -> float:
     number = isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value)
     if not number or not -most <= value <= most:
-        raise ValueError(f"{value!r} is no figure of at most {most:g}")
+        raise ValueError(f"{value!r} is not a number of at most {most:g}")
     return float(value)
 
 
-def _count(found: DecayedCount, now: float) -> list[float]:
+def _encode_count(found: DecayedCount, now: float) -> list[float]:
     return [found.count, now - found.at]
 
 
-def _counted(found: Sequence[Any], now: float) -> DecayedCount:
-    made = DecayedCount(now - max(0.0, _sane(found[1], 1e9)))
-    made.count = _sane(found[0], 1e9)
-    return made
+def _decode_count(found: Sequence[Any], now: float) -> DecayedCount:
+    count = DecayedCount(now - max(0.0, _checked(found[1], 1e9)))
+    count.count = _checked(found[0], 1e9)
+    return count
 
 
-def _mean(found: MovingAverage, now: float) -> list[list[float]]:
-    return [_count(found.observations, now), _count(found.total, now)]
+def _encode_mean(found: MovingAverage, now: float) -> list[list[float]]:
+    return [_encode_count(found.observations, now), _encode_count(found.total, now)]
 
 
-def _smooth(mean: MovingAverage, found: Sequence[Any], now: float) -> None:
-    mean.observations, mean.total = (_counted(part, now) for part in found)
+def _restore_average(mean: MovingAverage, found: Sequence[Any], now: float) -> None:
+    mean.observations, mean.total = (_decode_count(part, now) for part in found)
 
 
-def _filled(window: Window, ages: Iterable[Any], now: float) -> None:
+def _fill_window(window: Window, ages: Iterable[Any], now: float) -> None:
     for age in ages:
-        window.add(now - max(0.0, _sane(age, 1e9)))
+        window.add(now - max(0.0, _checked(age, 1e9)))
--- a/oxbowarch/notes.py
+++ b/oxbowarch/notes.py
@@ -1,9 +1,9 @@
-"""The datagrams in which dispatchers tell one another notes: bytes in, bytes out, no socket and no clock.
+"""The datagrams that carry notes between dispatchers: bytes in, bytes out, no socket and no clock.
 
-Two bytes of version (four bits) and number (twelve), then three bytes a note: two of the worker's name, hashed; one
-of the attempts out there (four bits) and of how the last one ended (four bits).  Each datagram delivered is priced.
-A note says how things stand, so that one that is lost, repeated or late is put right by the next; what is malformed,
-of another version, out of order or of nobody known changes nothing, and is counted.
+A datagram has two bytes of version (four bits) and sequence number (twelve), then three bytes a note: two of the
+hashed worker name; one of outstanding attempts (four bits) and of how the last one ended (four bits).  Each delivered
+datagram has a cost.  A note states the whole state, so the next one corrects a lost, repeated or late one.  Notes that
+are malformed, of another version, out of order or on an unknown worker change nothing, and are counted.
 """
 
 from __future__ import annotations
@@ -17,44 +17,45 @@
 from oxbowarch.interface import Entry, Note, State, WorkerId
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 256  # of a datagram; a longer one is not allowed
+MAX_DATAGRAM_BYTES = 256  # of a datagram; the limit of the wire
 HEAD = Struct("<H")
 NOTE = Struct("<HB")
 NOTES_MOST = (MAX_DATAGRAM_BYTES - HEAD.size) // NOTE.size
-SEQUENCE_NUMBERS = 4096  # of datagrams, counted round
-ORDER_KEPT = 0.5  # s after which any number of a sender counts as newer: it may have started again
-MIN_STORED_NOTES = 4096  # notes that may be kept for that before the old ones are looked for
-OUT_MOST = 15
-FAILED = 15  # how an attempt ended: 0 nothing to say, 1 to 14 its pace, or this
-PACE_STEP, PACE_LOW = 0.25, -1.0  # logged run time over the usual, of a step and of pace 1
-PACES = 14
+SEQUENCE_NUMBERS = 4096  # of datagrams; they wrap around
+ORDER_KEPT = 0.5  # seconds after which any number of a sender is newer: it may have restarted
+MIN_STORED_NOTES = 4096  # order entries stored before old ones are removed
+MAX_OUTSTANDING = 15
+FAILED = 15  # how an attempt ended: 0 none, 1 to 14 its slowdown, or this
+SLOWDOWN_STEP = 0.25  # log of run time over the usual
+MIN_SLOWDOWN = -1.0  # of step 1
+SLOWDOWN_STEPS = 14
 
 
 def worker_hash(worker: WorkerId) -> int:
-    """What stands for a worker's name: sixteen bits; nothing is told of workers that share them."""
+    """Return a hash of 16 bits for a worker's name; no notes are sent on workers that share one."""
     return crc32(worker) & 0xFFFF
 
 
 def _ending(note: Note) -> int:
     if note.failed or note.slowdown is None:
         return FAILED if note.failed else 0
-    return min(PACES, max(1, 1 + floor((note.slowdown - PACE_LOW) / PACE_STEP + 0.5)))
+    return min(SLOWDOWN_STEPS, max(1, 1 + floor((note.slowdown - MIN_SLOWDOWN) / SLOWDOWN_STEP + 0.5)))
 
 
 class NoteCodec:
-    """One dispatcher's side of the exchange."""
+    """Writes and reads the datagrams of one dispatcher."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.number = 0  # of the last datagram written
+        self.number = 0  # sequence number of the last datagram written
         self._names: dict[int, tuple[WorkerId, ...]] = {}
-        # Number of the last note of each sender about each worker, and when it came: those to some dispatchers and
-        # those to all overtake one another, and what one says of a worker is no older for news of another.
+        # Number and time of the last note by sender and worker.  Order is checked by worker, as datagrams to some
+        # dispatchers and broadcasts overtake one another, and a note on one worker does not outdate another.
         self._last: dict[tuple[int, int], tuple[int, float]] = {}
         self._last_most = MIN_STORED_NOTES
 
     def set_workers(self, entries: Iterable[Entry], afresh: bool = False) -> None:
-        """Workers that notes may be about, besides those of before; `afresh`: instead of them."""
+        """Add workers that notes may be on; `afresh`: replace the earlier ones."""
         if afresh:
             self._names, self._last = {}, {}
         for entry in entries:
@@ -66,20 +67,20 @@
                 self._names[name] = same
 
     def write(self, notes: Sequence[Note]) -> list[bytes]:
-        """The datagrams, of at most 256 bytes each, that tell these notes."""
-        made = []
-        # Of two workers of one short name a note would go to the other's account.
+        """Return the datagrams that carry these notes, of at most 256 bytes each."""
+        datagrams = []
+        # Of two workers with one hash, a note could be applied to the wrong one.
         notes = [note for note in notes if len(self._names.get(worker_hash(note.worker), ())) <= 1]
         for at in range(0, len(notes), NOTES_MOST):
             self.number = (self.number + 1) % SEQUENCE_NUMBERS
             parts = [HEAD.pack(VERSION << 12 | self.number)]
-            parts += [NOTE.pack(worker_hash(note.worker), min(OUT_MOST, note.outstanding) << 4 | _ending(note))
+            parts += [NOTE.pack(worker_hash(note.worker), min(MAX_OUTSTANDING, note.outstanding) << 4 | _ending(note))
                       for note in notes[at : at + NOTES_MOST]]  # fmt: skip
-            made.append(b"".join(parts))
-        return made
+            datagrams.append(b"".join(parts))
+        return datagrams
 
     def read(self, sender: int, data: bytes, now: float) -> tuple[Note, ...]:
-        """The notes of a datagram; none, and a count, where it is no good.  `now` in seconds."""
+        """Return the valid notes of a datagram, and count the others by reason.  `now` in seconds."""
         if len(data) > MAX_DATAGRAM_BYTES or len(data) <= HEAD.size or (len(data) - HEAD.size) % NOTE.size:
             self.counts["malformed"] += 1
             return ()
@@ -99,9 +100,9 @@
                 continue
             self._last[sender, hashed] = number, now
             if len(self._last) > self._last_most:
-                # A thousand senders about a thousand workers: what is old orders nothing, and would fill the memory.
+                # Entries past ORDER_KEPT decide nothing; a thousand senders and workers would fill the memory.
                 self._last = {key: kept for key, kept in self._last.items() if now - kept[1] < ORDER_KEPT}
                 self._last_most = max(MIN_STORED_NOTES, 2 * len(self._last))
-            pace = PACE_LOW + (ending - 1) * PACE_STEP if 0 < ending < FAILED else None
-            notes.append(Note(workers[0], state >> 4, pace, ending == FAILED))
+            slowdown = MIN_SLOWDOWN + (ending - 1) * SLOWDOWN_STEP if 0 < ending < FAILED else None
+            notes.append(Note(workers[0], state >> 4, slowdown, ending == FAILED))
         return tuple(notes)
