--- a/oxbowarch/simhost.py
+++ b/oxbowarch/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts isolated instances of the decision module on the simulator's wire: standard input to output."""
+"""Runs isolated instances of the decision module on the simulator's wire, from standard input to output."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Host:
-    """One Brain for each live instance; they share only immutable decoded pages."""
+    """One Brain per live instance; instances share only immutable decoded pages."""
 
     def __init__(self) -> None:
         self.codec = wire.Codec()
@@ -23,7 +23,7 @@
         self.notebooks: dict[int, NoteCodec] = {}
 
     def reply(self, body: bytes) -> bytes:
-        """The reply frame to one batch."""
+        """Return the reply frame to one batch; an instance that raises an error is ended."""
         now, events = self.codec.batch(body)
         records: list[bytes] = []
         for instance, event in events:
@@ -46,7 +46,7 @@
         return wire.frame(records)
 
     def deliver(self, instance: int, event: Any, now: float) -> Any:
-        """Hand one event to its instance; what comes for an instance that is not there is ignored."""
+        """Pass one event to its instance and return the actions; events for unknown instances are ignored."""
         kind = type(event)
         if kind is wire.Hello:
             self.brains.pop(instance, None)
@@ -84,7 +84,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer where the input ends."""
+    """Return `size` bytes, or fewer where the input ends."""
     parts = []
     while size > 0:
         part = stream.read(size)
@@ -96,7 +96,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the input ends between two frames (0) or is unsound (1)."""
+    """Answer batches; return 0 if the input ends between two frames, 1 if it is invalid."""
     host = Host()
     while True:
         head = read_exactly(source, wire.LENGTH.size)
@@ -118,7 +118,8 @@
 
 
 def main() -> int:
-    gc.disable()  # no cycles are made on the request path; a collection would stall a whole batch
+    """Serve standard input; return the exit code."""
+    gc.disable()  # the request path creates no cycles; a collection would stall a whole batch
     try:
         return serve(sys.stdin.buffer, sys.stdout.buffer)
     except (BrokenPipeError, KeyboardInterrupt):
--- a/oxbowarch/wire.py
+++ b/oxbowarch/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's binary wire: frames, records, and its settings put into our own terms.
+"""The simulator's binary wire: frames, records, and the conversion of its settings.
 
-Nothing is decided here.  Layouts follow the interface page of the simulator, little-endian, packed.
+Layouts follow the interface page of the simulator, little-endian, packed.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class WireError(Exception):
-    """The input is not a sound frame."""
+    """The input is not a valid frame."""
 
 
 class Hello(NamedTuple):
@@ -98,19 +98,19 @@
 
 
 def sane(value: float, low: float = 0.0, high: float = 1e9) -> float | None:
-    """A report's value, or None where it is not a number or out of all reason."""
+    """Return a report's value, or None if it is not a number or out of bounds."""
     return value if low <= value <= high else None
 
 
 class Codec:
-    """Decodes batches; keeps the numbered pages of the process and each instance's report layout."""
+    """Decodes batches; stores the numbered pages of the process and each instance's report layout."""
 
     def __init__(self) -> None:
         self.pages: dict[int, tuple[Entry, ...]] = {}
         self.places: dict[int, tuple[int, int, int]] = {}
 
     def place(self, instance: int, names: list[str]) -> None:
-        """Remember where an instance's load reports hold free slots, queue and requests held."""
+        """Set the positions of free slots, queue and requests in flight in an instance's load reports."""
         wanted = ("x0", "q", "rif")
         first, second, third = (names.index(name) if name in names else -1 for name in wanted)
         self.places[instance] = (first, second, third)
@@ -124,7 +124,7 @@
         return Report(free, queue, held)
 
     def batch(self, body: bytes) -> tuple[float, Iterator[tuple[int, Any]]]:
-        """The clock and the events (instance, event) of one frame's body, in order."""
+        """Return the clock and the events (instance, event) of one frame's body, in order."""
         try:
             now, count = BATCH.unpack_from(body)
         except StructError as problem:
@@ -277,7 +277,7 @@
 
 
 def fault(instance: int, text: str) -> bytes:
-    """The record that says an instance's module has failed."""
+    """Return the record that reports an instance's failure."""
     return text_record(7, instance, text)
 
 
@@ -293,7 +293,7 @@
 
 
 def broadcast(instance: int, peer: int, data: bytes) -> bytes:
-    """The record that sends a datagram to another instance, or to every one."""
+    """Return the record that sends a datagram to another instance, or to all."""
     return BROADCAST_OUT.pack(4, 6 + len(data), instance, peer, len(data)) + data
 
 
@@ -307,7 +307,7 @@
 
 
 def need(conf: dict[str, Any], *path: str) -> Any:
-    """A required setting, or an error that names its key."""
+    """Return a required setting; raise ValueError with its key if it is missing."""
     value: Any = conf
     for step, key in enumerate(path):
         if not isinstance(value, dict) or key not in value:
@@ -323,7 +323,7 @@
 
 
 def number(table: dict[str, Any], key: str) -> float:
-    """An optional rule's figure under `rules`."""
+    """Return a number under `rules`; raise ValueError if it is not finite or is below 0."""
     value = table[key]
     if isinstance(value, bool) or not isinstance(value, int | float) or not (math.isfinite(value) and value >= 0):
         raise ValueError(f"settings: rules.{key} must be a finite number of at least 0")
@@ -331,7 +331,7 @@
 
 
 def attempt_budget(rules: dict[str, Any]) -> api.AttemptBudget | None:
-    """The ration of further attempts; None where no part of it is stated."""
+    """Return the retry budget; None if no part of it is set."""
     keys = ("minExtra", "furtherRatio", "budgetSpan")
     missing = [key for key in keys if key not in rules]
     if len(missing) == len(keys):
@@ -351,7 +351,7 @@
 
 
 def places(lane: dict[str, Any], key: str) -> tuple[int, ...] | None:
-    """Numbers of kinds or zones that a class is bound to; None where it is bound to none."""
+    """Return the numbers of kinds or zones that a class is bound to; None if it is not bound."""
     if key not in lane:
         return None
     found = lane[key]
@@ -362,7 +362,7 @@
 
 def job_class(lane: dict[str, Any], stretch: float, kind: int) -> JobClass:
     kinds = places(lane, "boundTo")
-    if kind >= 0:  # machines of other kinds cannot run it, so that both bounds hold
+    if kind >= 0:  # machines of other kinds cannot run it, so both restrictions apply
         kinds = (kind,) if kinds is None or kind in kinds else ()
     return JobClass(
         effect=choose(EFFECTS, need(lane, "effect"), "lanes[].effect"),
@@ -380,7 +380,7 @@
 
 
 def settings(conf: dict[str, Any]) -> Settings:
-    """The site's settings in the module's terms; unknown keys are ignored."""
+    """Convert the site's settings; unknown keys are ignored."""
     lanes = need(conf, "lanes")
     limits = need(conf, "limits")
     rules = need(conf, "rules")
@@ -421,7 +421,7 @@
 
 
 def parse_settings(text: bytes) -> tuple[Settings, list[str]]:
-    """The settings and the names of the values in a load report."""
+    """Return the settings and the names of the values in a load report."""
     conf = json.loads(text)
     if not isinstance(conf, dict):
         raise ValueError("settings: a JSON object is wanted")
