--- a/benchmarks/checks/fleet.py
+++ b/benchmarks/checks/fleet.py
@@ -70,7 +70,7 @@
     for member in made.members.values():
         member.suspected_by = set(member.suspected_by)
     made._not_alive = {name: made.members[name] for name in node._not_alive}
-    made._gossip, made.recent_events, made._actions = dict(node._gossip), node.recent_events.copy(), []
+    made._gossip_counts, made.recent_events, made._actions = dict(node._gossip_counts), node.recent_events.copy(), []
     return made
 
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -357,7 +357,7 @@
 
 def test_members_of_two_wire_versions_settle() -> None:
     net = fleet(5, versions={"n0": 1, "n2": 1})
-    assert all(wire.HEAD.unpack_from(a.data)[1] == 1 for a in net.nodes["n1"].machine.on_leave(net.now)  # type: ignore[union-attr]
+    assert all(wire.HEADER.unpack_from(a.data)[1] == 1 for a in net.nodes["n1"].machine.on_leave(net.now)  # type: ignore[union-attr]
                if isinstance(a, Send) and a.address == net.nodes["n0"].address)  # fmt: skip
 
 
@@ -388,11 +388,11 @@
 
 def test_a_field_that_a_later_version_adds_is_passed_over() -> None:
     data, _ = wire.write(message(), [], 2, 1200)
-    values = msgspec.msgpack.decode(data[wire.HEAD.size :])
+    values = msgspec.msgpack.decode(data[wire.HEADER.size :])
     values[8].append("new")
     values.append("newer")
     body = msgspec.msgpack.encode(values)
-    later = wire.HEAD.pack(wire.MAGIC, 2, wire.crc32(body)) + body
+    later = wire.HEADER.pack(wire.MAGIC, 2, wire.crc32(body)) + body
     assert wire.read(later, "k", 1200).sender == ME
 
 
@@ -403,7 +403,7 @@
     spoilt = bytearray(good)
     spoilt[at % len(spoilt)] ^= flip
     machine = Fleet("k", msgspec.structs.replace(ME, name="b"), TERMS, [("127.0.0.1", 1)], 0.0)
-    framed = wire.HEAD.pack(b"tF", 2, wire.crc32(data)) + data
+    framed = wire.HEADER.pack(b"tF", 2, wire.crc32(data)) + data
     for text in (data, bytes(spoilt), good[: at % len(good)], good + b"x", framed):
         assert machine.on_datagram(text, "127.0.0.1", 0.0) == []
     assert not machine.members and sum(machine.counts.values()) == 5
--- a/thistleshore/fleet/carrier.py
+++ b/thistleshore/fleet/carrier.py
@@ -24,48 +24,59 @@
 
 log = logging.getLogger("thistleshore")
 
-LOOK = 0.1  # seconds between two checks of this process's service state
-WAITING_MOST = 512  # datagrams that are queued for the state machine; further ones are dropped and counted
-RATE, RATE_EACH = 500.0, 40.0  # datagrams processed per second, and the increase for each member
-FLOODED = 0.01  # seconds without reading from the socket once the rate is exceeded
-GOODBYES, GOODBYE_GAP = 3, 0.02  # transmissions of a leave, as datagrams may be lost, and the seconds after each
-BOUND_AGAIN = 1.0  # seconds before another attempt to bind the socket
-APART = 64  # incarnations by which the successor of a hot restart starts above its predecessor
-DISTRIBUTION = b"tC"  # magic of the datagrams that distribute configuration; they share the socket
+SERVICE_CHECK_INTERVAL = 0.1  # seconds between two checks of this process's service state
+MAX_QUEUED_DATAGRAMS = 512  # datagrams that are queued for the state machine; further ones are dropped and counted
+BASE_RATE = 500.0  # datagrams that are processed per second
+RATE_PER_MEMBER = 40.0  # increase of that rate for each member
+FLOOD_PAUSE = 0.01  # seconds without reading from the socket once the rate is exceeded
+LEAVE_TRANSMISSIONS = 3  # as datagrams may be lost
+LEAVE_INTERVAL = 0.02  # seconds after each transmission
+BIND_RETRY_INTERVAL = 1.0  # seconds before another attempt to bind the socket
+INCARNATION_GAP = 64  # incarnations by which the successor of a hot restart starts above its predecessor
+DISTRIBUTION_MAGIC = b"tC"  # magic of the datagrams that distribute configuration; they share the socket
 # Sequence numbers by which it starts above its predecessor, which sends until the successor serves.
-NUMBERS_APART = 100_000
+SEQUENCE_GAP = 100_000
 
 
 class Carrier:
     """Runs the membership state machine on a UDP socket and executes its actions."""
 
-    def __init__(self, plan: FleetPlan, name: str, service: Callable[[], Service], fingerprint: str,
-                 before: Mapping[str, Any] | None = None, inherited: sockets.socket | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        plan: FleetPlan,
+        name: str,
+        service: Callable[[], Service],
+        fingerprint: str,
+        predecessor: Mapping[str, Any] | None = None,
+        inherited: sockets.socket | None = None,
+    ) -> None:
         """Prepare the membership; `run` begins it.
 
         `service` returns the service state of this process, `fingerprint` is that of its settings file.  After a hot
-        restart, `before` is the predecessor's `handover_state`, whose generation continues here, and `inherited` its
-        socket.
+        restart, `predecessor` is the other process's `handover_state`, whose generation continues here, and
+        `inherited` is its socket.
         """
         self.plan, self.service = plan, service
         networks = address_set("fleet.from", plan.networks)
         self._allowed: dict[str, bool] = {}
 
         def allowed(host: str) -> bool:
-            if (found := self._allowed.get(host)) is None:
+            if (is_in_networks := self._allowed.get(host)) is None:
                 number = ip_number(host)
-                found = number is not None and networks.has(number)
+                is_in_networks = number is not None and networks.has(number)
                 if len(self._allowed) < 4096:  # bounds the memory that forged sender addresses can use
-                    self._allowed[host] = found
-            return found
+                    self._allowed[host] = is_in_networks
+            return is_in_networks
 
         generation, incarnation, number = int(time.time() * 1000), 0, 0
-        if before is not None and all(isinstance(before.get(key), int) for key in ("life", "incarnation", "number")):
-            generation, incarnation = before["life"], before["incarnation"] + APART
-            number = before["number"] + NUMBERS_APART
+        if predecessor is not None and all(
+            isinstance(predecessor.get(key), int) for key in ("life", "incarnation", "number")
+        ):
+            generation, incarnation = predecessor["life"], predecessor["incarnation"] + INCARNATION_GAP
+            number = predecessor["number"] + SEQUENCE_GAP
         host, port = plan.advertise
         me = Record(name, host, port, plan.zone, max(1, generation), incarnation, int(State.ALIVE), int(service()),
-                    wire.NEWEST, __version__, print=fingerprint)  # fmt: skip
+                    wire.NEWEST_VERSION, __version__, print=fingerprint)  # fmt: skip
         now = trio.current_time()
         self.machine = Fleet(plan.name, me, plan.terms, plan.seeds, now, int.from_bytes(os.urandom(8), "big"), allowed,
                              number)  # fmt: skip
@@ -79,8 +90,8 @@
         self.socket: trio.socket.SocketType | None = (
             trio.socket.from_stdlib_socket(inherited) if inherited is not None else None
         )
-        self._send, self._inbox = trio.open_memory_channel[tuple[bytes, str] | None](WAITING_MOST)
-        self._aside, self._returns = Aside(), False
+        self._send, self._inbox = trio.open_memory_channel[tuple[bytes, str] | None](MAX_QUEUED_DATAGRAMS)
+        self._suspension, self._resuming = Aside(), False
 
     def subscribe(self) -> trio.MemoryReceiveChannel[Changed]:
         """Return a channel that receives all events from now on, in order."""
@@ -99,58 +110,58 @@
         Cancelling sends no leave; `leave` does.  Binding an address that is in use is tried again.
         """
         task_status.started()
-        await self._aside.run(self._take_part)
+        await self._suspension.run(self._run_member)
 
-    async def _take_part(self) -> None:
+    async def _run_member(self) -> None:
         if self.socket is None:
             await self._bind()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive)
-            nursery.start_soon(self._own)
+            nursery.start_soon(self._run_machine)
 
     def step_aside(self, aside: bool) -> None:
         """Suspend membership while the successor of a hot restart has it; False resumes it after its failure."""
-        self._returns = self._returns or self._aside.aside and not aside
-        self._aside.turn(aside)
+        self._resuming = self._resuming or self._suspension.aside and not aside
+        self._suspension.turn(aside)
 
     def handover_state(self) -> dict[str, Any]:
         """Return what the successor of a hot restart needs to continue this generation."""
         me = self.machine.own_record
         return {"life": me.generation, "incarnation": me.incarnation, "number": self.machine.number}
 
-    def on_settings(self, told: Mapping[str, Any]) -> None:
+    def on_settings(self, settings: Mapping[str, Any]) -> None:
         """Publish the fingerprint of settings that have come into force."""
-        self.machine.on_print(fingerprint(told), trio.current_time())
+        self.machine.on_print(fingerprint(settings), trio.current_time())
 
     async def leave(self) -> None:
         """Leave the fleet; the datagrams are sent several times, as they may be lost."""
-        if self._aside.aside or self.machine.leaving:
+        if self._suspension.aside or self.machine.leaving:
             return
         actions = self.machine.on_leave(trio.current_time())
-        for n in range(GOODBYES):
+        for n in range(LEAVE_TRANSMISSIONS):
             await self._carry_out(actions if n == 0 else [a for a in actions if isinstance(a, Send)])
-            await trio.sleep(GOODBYE_GAP)
+            await trio.sleep(LEAVE_INTERVAL)
 
     async def _bind(self) -> None:
         host, port = self.plan.listen
         while True:
-            made = trio.socket.socket(trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET,
+            sock = trio.socket.socket(trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET,
                                       trio.socket.SOCK_DGRAM)  # fmt: skip
             try:
-                await made.bind((host, port))
+                await sock.bind((host, port))
             except OSError as problem:
-                made.close()
+                sock.close()
                 log.error("cannot bind fleet address %s:%d, retrying: %s", host, port, problem)
-                await trio.sleep(BOUND_AGAIN)
+                await trio.sleep(BIND_RETRY_INTERVAL)
                 continue
-            self.socket = made
+            self.socket = sock
             log.info("fleet %s listens on %s:%d", self.plan.name, host, port)
             return
 
     async def _receive(self) -> None:
         """Queue received datagrams, up to the rate that a fleet of this size may send."""
         assert self.socket is not None
-        tokens, since, counts = RATE, trio.current_time(), self.machine.counts
+        tokens, since, counts = BASE_RATE, trio.current_time(), self.machine.counts
         while True:
             try:
                 # One byte more than the limit, so that a longer datagram is recognised.
@@ -160,14 +171,14 @@
                 await trio.sleep(0)
                 continue
             now = trio.current_time()
-            rate = RATE + RATE_EACH * len(self.machine.members)
+            rate = BASE_RATE + RATE_PER_MEMBER * len(self.machine.members)
             tokens, since = min(rate, tokens + (now - since) * rate), now
             if tokens < 1.0:
                 counts["flood"] += 1
-                await trio.sleep(FLOODED)
+                await trio.sleep(FLOOD_PAUSE)
                 continue
             tokens -= 1.0
-            if self.on_distribution is not None and data.startswith(DISTRIBUTION):
+            if self.on_distribution is not None and data.startswith(DISTRIBUTION_MAGIC):
                 self._hand_to_distribution(self.on_distribution, data, sender)
                 continue
             try:
@@ -184,26 +195,28 @@
         else:
             hand(data, (sender[0], sender[1]))
 
-    async def _own(self) -> None:
+    async def _run_machine(self) -> None:
         """Run the state machine; this is the only task that passes datagrams and time to it."""
         machine = self.machine
-        looked = trio.current_time()
-        if self._returns:
-            self._returns = False
-            await self._carry_out(machine.on_return(2 * APART, 2 * NUMBERS_APART, looked))
+        service_checked_at = trio.current_time()
+        if self._resuming:
+            self._resuming = False
+            await self._carry_out(machine.on_return(2 * INCARNATION_GAP, 2 * SEQUENCE_GAP, service_checked_at))
         while True:
-            found = None
-            with trio.move_on_at(max(trio.current_time(), min(machine.due, looked + LOOK))):
-                found = await self._inbox.receive()
+            datagram = None
+            with trio.move_on_at(
+                max(trio.current_time(), min(machine.due, service_checked_at + SERVICE_CHECK_INTERVAL))
+            ):
+                datagram = await self._inbox.receive()
             now = trio.current_time()
             # Timers first: a process that was stopped must detect that before it processes queued datagrams.
             if now >= machine.due:
                 await self._carry_out(machine.on_time(now))
-            if now >= looked + LOOK:
-                looked = now
+            if now >= service_checked_at + SERVICE_CHECK_INTERVAL:
+                service_checked_at = now
                 await self._carry_out(machine.on_service(self.service(), now))
-            if found is not None:
-                await self._carry_out(machine.on_datagram(*found, now))
+            if datagram is not None:
+                await self._carry_out(machine.on_datagram(*datagram, now))
 
     async def send(self, address: Address, data: bytes) -> None:
         """Send a datagram; failures are counted and not raised."""
@@ -283,8 +296,8 @@
         }  # fmt: skip
 
 
-def fingerprint(told: Mapping[str, Any]) -> str:
+def fingerprint(settings: Mapping[str, Any]) -> str:
     """Return the fingerprint of settings; it does not depend on the order of keys."""
     import xxhash
 
-    return xxhash.xxh32_hexdigest(json.dumps(told, sort_keys=True, default=str).encode())
+    return xxhash.xxh32_hexdigest(json.dumps(settings, sort_keys=True, default=str).encode())
--- a/thistleshore/fleet/machine.py
+++ b/thistleshore/fleet/machine.py
@@ -19,67 +19,68 @@
 from thistleshore.fleet import wire
 from thistleshore.fleet.model import (
     BUCKETS,
-    GOSSIP,
-    HEALTH_MOST,
-    HELPERS,
+    GOSSIP_FACTOR,
+    INDIRECT_PROBES,
+    MAX_HEALTH,
+    MAX_LATENESS,
     MAX_MEMBERS,
-    PROBES_LATE,
     OBSERVATIONS,
     TRANSITIONS,
     Action,
     Changed,
-    Record,
     Observation,
+    Record,
     Send,
     Service,
     State,
     Terms,
 )
 
-WINDOW = 64  # sequence numbers of a sender within which reordered datagrams are accepted
-REPLIES_MOST = 8  # datagrams with records in answer to one anti-entropy message
-TOLD_MOST = 1024  # events that are retained for the call `events`
+SEQUENCE_WINDOW = 64  # sequence numbers of a sender within which reordered datagrams are accepted
+MAX_REPLY_DATAGRAMS = 8  # datagrams with records in answer to one anti-entropy message
+MAX_RECENT_EVENTS = 1024  # events that are retained for the call `events`
 
 
 class Member:
     """The local state of one other member."""
 
     __slots__ = (
-        "suspected_by",
-        "call_at",
-        "call_gap",
+        "contact_at",
+        "contact_interval",
         "digest",
+        "extra_suspicion",
         "known_count",
-        "newest",
+        "newest_number",
         "record",
-        "seen_numbers",
+        "seen_mask",
         "since",
         "suspect_since",
-        "unsure",
+        "suspected_by",
     )
 
     def __init__(self, record: Record, now: float) -> None:
         self.record, self.since = record, now
         self.digest = -1  # of its view, as last received
         self.known_count = 0  # members that it knows, as last received
-        self.newest, self.seen_numbers = -1, 0  # greatest sequence number received, and a bit mask of those before it
+        self.newest_number = -1  # greatest sequence number received
+        self.seen_mask = 0  # bit mask of the sequence numbers received, bit 0 for the newest
         self.suspected_by: set[str] = set()  # names of those that suspect it
         self.suspect_since = now
-        self.call_at, self.call_gap = inf, 0.0
-        self.unsure = 0.0  # seconds added to the suspicion timeout, as an unhealthy local probe began it
+        self.contact_at, self.contact_interval = inf, 0.0
+        self.extra_suspicion = 0.0  # seconds added to the suspicion timeout, as an unhealthy local probe began it
 
 
 class _Probe:
     """The probe in progress."""
 
-    __slots__ = ("ask_at", "asked", "ends", "name", "number", "refused")
+    __slots__ = ("asked", "deadline", "indirect_at", "name", "number", "refused")
 
-    def __init__(self, name: str, number: int, ask_at: float, ends: float) -> None:
-        self.name, self.number, self.ask_at, self.ends = name, number, ask_at, ends
+    def __init__(self, name: str, number: int, indirect_at: float, deadline: float) -> None:
+        self.name, self.number, self.indirect_at, self.deadline = name, number, indirect_at, deadline
         self.asked = self.refused = 0  # helpers asked for an indirect probe, and those that answered with NACK
 
 
-class _Favour:
+class _IndirectProbe:
     """An indirect probe that this member runs for another one."""
 
     __slots__ = ("number", "sender", "until")
@@ -122,15 +123,15 @@
         self.settled = False
         self.changed_at = now
         self.received_any = not self.seeds
-        self.recent_events: deque[tuple[int, float, Changed]] = deque(maxlen=TOLD_MOST)
+        self.recent_events: deque[tuple[int, float, Changed]] = deque(maxlen=MAX_RECENT_EVENTS)
         self._event_number = 0
         self._random = randoms.Random(seed)
         self.number = number
-        self._goes_on = number > 0
+        self._continues = number > 0
         self._round: list[str] = []
         self._probe: _Probe | None = None
-        self._favours: dict[int, _Favour] = {}
-        self._gossip: dict[str, int] = {}  # by member name: how often the record was sent as gossip
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
+        self._gossip_counts: dict[str, int] = {}  # by member name: how often the record was sent as gossip
         # The pending PING to another process with this name: probe number, its record, deadline, attempts left.
         self._challenge: tuple[int, Record, float, int] | None = None
         self._digest: int | None = None
@@ -139,7 +140,7 @@
         self._next_probe = now + terms.period * (0.5 + 0.5 * self._random.random())
         self._next_sync = now
         self._next_seed = now
-        self._seed_gap = terms.period / 2
+        self._seed_interval = terms.period / 2
         self._actions: list[Action] = []
 
     # -- queries of the rest of this process ------------------------------------------------------
@@ -149,15 +150,15 @@
         """Return the time at which `on_time` is to be called next."""
         times = [self._next_probe, self._next_sync, self._next_seed]
         if (probe := self._probe) is not None:
-            times.append(min(probe.ask_at, probe.ends))
+            times.append(min(probe.indirect_at, probe.deadline))
         if self._challenge is not None:
             times.append(self._challenge[2])
-        times += [favour.until for favour in self._favours.values()]
+        times += [indirect.until for indirect in self._indirect_probes.values()]
         for member in self._not_alive.values():
             if member.record.state == State.SUSPECT:
-                times.append(self._expires(member))
+                times.append(self._suspicion_deadline(member))
             else:
-                times.append(min(member.call_at, self._ages(member)))
+                times.append(min(member.contact_at, self._removal_time(member)))
         return min(times)
 
     @property
@@ -170,8 +171,8 @@
 
     def living(self) -> list[Record]:
         """Return the records that are neither DEAD nor LEFT, with this member's own unless it is not a member."""
-        found = [member.record for member in self.members.values() if member.record.state < State.DEAD]
-        return found if self.observing or self.leaving else [*found, self.own_record]
+        records = [member.record for member in self.members.values() if member.record.state < State.DEAD]
+        return records if self.observing or self.leaving else [*records, self.own_record]
 
     @property
     def alive_count(self) -> int:
@@ -196,7 +197,7 @@
     @property
     def unlisted_count(self) -> int:
         """Return how many more members some live member knows: a new member is not sent the records of dead ones."""
-        return max([0, *(member.known_count - self.known_count for member in self._alive())])
+        return max([0, *(member.known_count - self.known_count for member in self._live_members())])
 
     @property
     def knows_all(self) -> bool:
@@ -212,56 +213,56 @@
 
     def on_time(self, now: float) -> list[Action]:
         """Run all timers that are due."""
-        self._awake(now)
+        self._detect_stall(now)
         if self.leaving:
             self._next_probe = self._next_sync = self._next_seed = now + self.terms.period
-            return self._done()
+            return self._take_actions()
         if now >= self._next_seed:
-            self._call_seeds(now)
+            self._contact_seeds(now)
         if self.observing:
-            self._consider_joining(now)
+            self._maybe_join(now)
         if self._challenge is not None and now >= self._challenge[2]:
             self._challenge_unanswered(now)
         self._run_probe(now)
         if now >= self._next_sync:
             self._next_sync = now + self.terms.sync_interval * (0.75 + 0.5 * self._random.random())
-            if alive := self._alive():
-                self._compare(self._random.choice(alive), now)
+            if alive := self._live_members():
+                self._send_sync(self._random.choice(alive), now)
         for name, member in list(self._not_alive.items()):
-            self._time_of(name, member, now)
-        for number, favour in list(self._favours.items()):
-            if now >= favour.until:
-                del self._favours[number]
-                self._send(favour.sender, wire.NACK, probe=favour.number)
-        self._look_settled(now)
-        return self._done()
+            self._run_member_timers(name, member, now)
+        for number, indirect in list(self._indirect_probes.items()):
+            if now >= indirect.until:
+                del self._indirect_probes[number]
+                self._send(indirect.sender, wire.NACK, probe=indirect.number)
+        self._update_settled(now)
+        return self._take_actions()
 
     def on_datagram(self, data: bytes, host: str, now: float) -> list[Action]:
         """Process a datagram; one that is invalid or for another member is counted and changes nothing else."""
-        self._awake(now)
+        self._detect_stall(now)
         if not self.allowed(host):
-            return self._ignore("network")
+            return self._count_ignored("network")
         try:
             message = wire.read(data, self.fleet, self.terms.datagram)
         except wire.DatagramError as problem:
-            return self._ignore(str(problem))
+            return self._count_ignored(str(problem))
         sender = message.sender
         if sender.name == self.own_record.name:
-            self._same_name(message, now)
-            return self._done()
+            self._on_own_name(message, now)
+            return self._take_actions()
         if message.to not in ("", self.own_record.name):
-            return self._ignore("not_me")
+            return self._count_ignored("not_me")
         if not self.allowed(sender.host):
-            return self._ignore("network")  # answers go to the address in the record
+            return self._count_ignored("network")  # answers go to the address in the record
         previous = self.members.get(sender.name)
         if previous is not None and not message.observing:
             if sender.generation < previous.record.generation:
                 # A duplicate from an earlier generation, or a process that restarted with its clock set back: the
                 # answer tells it which generation others know.
                 self._send(sender, wire.RECORDS, records=(previous.record,))
-                return self._ignore("earlier_life")
-            if sender.generation == previous.record.generation and not self._fresh(previous, message.number):
-                return self._ignore("repeated")
+                return self._count_ignored("earlier_life")
+            if sender.generation == previous.record.generation and not self._is_new_number(previous, message.number):
+                return self._count_ignored("repeated")
         self.counts["heard"] += 1
         self.received_any = True
         if not message.observing:
@@ -269,7 +270,7 @@
             if (member := self.members.get(sender.name)) is not None:
                 if member.record.generation == sender.generation:
                     member.digest, member.known_count = message.digest, message.known_count
-                    self._fresh(member, message.number)
+                    self._is_new_number(member, message.number)
         for record in message.records:
             self._merge(record, now)
         if message.observing and previous is not None:
@@ -278,27 +279,27 @@
                 sender.address,
                 sender.name,
                 sender.generation,
-                min(sender.wire, wire.NEWEST),
+                min(sender.wire, wire.NEWEST_VERSION),
                 wire.RECORDS,
                 records=(previous.record,),
             )
-        self._answer(message, now)
-        self._look_settled(now)
-        return self._done()
+        self._on_message(message, now)
+        self._update_settled(now)
+        return self._take_actions()
 
     def on_service(self, service: Service, now: float) -> list[Action]:
         """Publish a new service state of this process."""
         if service != self.own_record.service and not self.leaving:
             self._announce(now, service=int(service))
-            self._event("changed", self.own_record, service.name.lower())
-        return self._done()
+            self._emit("changed", self.own_record, service.name.lower())
+        return self._take_actions()
 
     def on_print(self, fingerprint: str, now: float) -> list[Action]:
         """Publish the fingerprint of a settings file that has come into force."""
         if fingerprint != self.own_record.print and not self.leaving:
             self.own_record = msgspec.structs.replace(self.own_record, print=fingerprint)
             self._announce(now)
-        return self._done()
+        return self._take_actions()
 
     def on_return(self, apart: int, numbers: int, now: float) -> list[Action]:
         """Resume after a successor of a hot restart that had continued this generation has failed.
@@ -309,42 +310,42 @@
         self.number += numbers
         self.own_record = msgspec.structs.replace(self.own_record, incarnation=self.own_record.incarnation + apart)
         self._announce(now)
-        return self._done()
+        return self._take_actions()
 
     def on_leave(self, now: float) -> list[Action]:
         """Leave the fleet; the record is sent to at most 32 members, and gossip carries it to the others."""
         if not self.leaving:
             if not self.observing:
                 self._announce(now, state=int(State.LEFT))
-                for member in self._random.sample(self._alive(), min(len(self._alive()), 32)):
+                for member in self._random.sample(self._live_members(), min(len(self._live_members()), 32)):
                     self._send(member.record, wire.RECORDS, records=(self.own_record,))
             self.leaving = True
             self._digest = None
-            self._event("left", self.own_record)
-        return self._done()
+            self._emit("left", self.own_record)
+        return self._take_actions()
 
     def on_forget(self, name: str, now: float) -> tuple[bool, list[Action]]:
         """Mark a dead member as LEFT for an operator; False where it is alive or not known."""
         member = self.members.get(name)
         if member is None or member.record.state < State.DEAD:
-            return False, self._done()
+            return False, self._take_actions()
         if member.record.state == State.DEAD:
             self._merge(msgspec.structs.replace(member.record, state=int(State.LEFT), by=self.own_record.name), now)
-        return True, self._done()
+        return True, self._take_actions()
 
     # -- timers ----------------------------------------------------------------------------------
 
-    def _awake(self, now: float) -> None:
+    def _detect_stall(self, now: float) -> None:
         """Detect that this process was stopped or starved, and extend the timers that run against other members."""
-        gap = now - self.due
-        if gap <= PROBES_LATE * self.terms.period:
+        lateness = now - self.due
+        if lateness <= MAX_LATENESS * self.terms.period:
             return
         self.counts["stalls"] += 1
-        self.health = min(HEALTH_MOST, self.health + 2)
+        self.health = min(MAX_HEALTH, self.health + 2)
         self._probe = None
-        self._favours.clear()
+        self._indirect_probes.clear()
         for member in self.members.values():
-            member.suspect_since += gap
+            member.suspect_since += lateness
         self._next_probe = now + self.terms.answer_timeout * (1.0 + self._random.random())
         self._next_sync = now  # the view is likely out of date
         if self._challenge is not None:
@@ -352,12 +353,12 @@
             self._challenge = (number, rival, now + 2 * self.terms.answer_timeout, tries)
         for member in self.members.values():
             if member.record.state == State.DEAD:
-                member.call_at = max(member.call_at, now)
-        self._event("stalled", self.own_record, f"{gap:.3f} s")
+                member.contact_at = max(member.contact_at, now)
+        self._emit("stalled", self.own_record, f"{lateness:.3f} s")
 
-    def _time_of(self, name: str, member: Member, now: float) -> None:
+    def _run_member_timers(self, name: str, member: Member, now: float) -> None:
         state = member.record.state
-        if state == State.SUSPECT and now >= self._expires(member):
+        if state == State.SUSPECT and now >= self._suspicion_deadline(member):
             self._apply(
                 member,
                 msgspec.structs.replace(member.record, state=int(State.DEAD), by=self.own_record.name),
@@ -365,52 +366,52 @@
                 now,
             )
         elif state >= State.DEAD:
-            if now >= self._ages(member):
+            if now >= self._removal_time(member):
                 assert TRANSITIONS[State(state), Observation.AGED] is None
-                self._drop(name)
-            elif now >= member.call_at:
+                self._remove(name)
+            elif now >= member.contact_at:
                 # Exponential back-off with jitter, so that members do not contact it all at once.
-                member.call_gap = min(self.terms.max_call_interval, 2 * member.call_gap)
-                member.call_at = now + member.call_gap * (0.75 + 0.5 * self._random.random())
+                member.contact_interval = min(self.terms.max_call_interval, 2 * member.contact_interval)
+                member.contact_at = now + member.contact_interval * (0.75 + 0.5 * self._random.random())
                 self.counts["calls"] += 1
-                self._compare(member, now)
+                self._send_sync(member, now)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         member = self.members.pop(name)
         self._not_alive.pop(name, None)
-        self._gossip.pop(name, None)
+        self._gossip_counts.pop(name, None)
         self._digest = self._buckets = None
-        self._event("forgotten", member.record)
+        self._emit("forgotten", member.record)
 
-    def _expires(self, member: Member) -> float:
-        fleet = len(self._alive()) + 1
+    def _suspicion_deadline(self, member: Member) -> float:
+        fleet = len(self._live_members()) + 1
         return (
             member.suspect_since
-            + member.unsure
+            + member.extra_suspicion
             + self.terms.suspicion_timeout(fleet, max(0, len(member.suspected_by) - 1))
         )
 
-    def _ages(self, member: Member) -> float:
+    def _removal_time(self, member: Member) -> float:
         return member.since + (self.terms.forget if member.record.state == State.DEAD else self.terms.left_retention)
 
-    def _alive(self) -> list[Member]:
+    def _live_members(self) -> list[Member]:
         return [member for member in self.members.values() if member.record.state < State.DEAD]
 
     # -- joining and name conflicts ---------------------------------------------------------------------
 
-    def _call_seeds(self, now: float) -> None:
+    def _contact_seeds(self, now: float) -> None:
         """Contact the seeds whose addresses belong to no live member, with exponential back-off."""
-        living = {member.record.address for member in self._alive()}
+        living = {member.record.address for member in self._live_members()}
         for address in self.seeds:
             if address not in living:
                 self.counts["seed_calls"] += 1
-                self._send_to(address, "", 0, wire.OLDEST, wire.SYNC, buckets=self._bucket_bytes())
-        self._seed_gap = min(self.terms.max_call_interval, 2 * self._seed_gap)
+                self._send_to(address, "", 0, wire.OLDEST_VERSION, wire.SYNC, buckets=self._bucket_bytes())
+        self._seed_interval = min(self.terms.max_call_interval, 2 * self._seed_interval)
         if self.observing and self.rival is not None:
             self._challenge_rival(self.rival, now)
-        self._next_seed = now + self._seed_gap * (0.75 + 0.5 * self._random.random())
+        self._next_seed = now + self._seed_interval * (0.75 + 0.5 * self._random.random())
 
-    def _consider_joining(self, now: float) -> None:
+    def _maybe_join(self, now: float) -> None:
         """Join once other members are known and no other process has the name, or once no seed answered in time."""
         if self._challenge is None and self.rival is None:
             if not self.seeds or self.members or now >= self.born + self.terms.period:
@@ -420,25 +421,25 @@
         self.observing = False
         self._digest = self._buckets = None
         self.changed_at = now
-        self._gossip[self.own_record.name] = 0
-        self._event("joined", self.own_record)
-        for member in self._alive()[:HELPERS]:
-            self._compare(member, now)
+        self._gossip_counts[self.own_record.name] = 0
+        self._emit("joined", self.own_record)
+        for member in self._live_members()[:INDIRECT_PROBES]:
+            self._send_sync(member, now)
 
-    def _same_name(self, message: wire.Message, now: float) -> None:
+    def _on_own_name(self, message: wire.Message, now: float) -> None:
         """Process a datagram of a process with this member's own name."""
         sender = message.sender
         if sender.address == self.own_record.address or sender.generation == self.own_record.generation:
-            self._ignore("own")  # own datagram that came back, or one of an earlier generation at this address
+            self._count_ignored("own")  # own datagram that came back, or one of an earlier generation at this address
             return
         if not self.allowed(sender.host):
-            self._ignore("network")
+            self._count_ignored("network")
             return
         if message.kind == wire.PING:
             # The process with the greater generation stays out.  A sender that is out already only asks for an answer.
-            self._contested(
+            self._on_name_conflict(
                 sender,
-                out=not message.observing and sender.generation < self.own_record.generation and not self.observing,
+                yields=not message.observing and sender.generation < self.own_record.generation and not self.observing,
                 now=now,
             )
             self._send(sender, wire.ACK, probe=message.probe)
@@ -446,29 +447,36 @@
             self._challenge = None
             if message.observing:
                 # It stays out: the own record must take precedence over what it published before.
-                self._contested(sender, out=False, now=now)
+                self._on_name_conflict(sender, yields=False, now=now)
                 if sender.generation > self.own_record.generation:
                     self._start_generation(sender.generation + 1, now)
             else:
-                self._contested(sender, out=self.observing or sender.generation < self.own_record.generation, now=now)
+                self._on_name_conflict(
+                    sender, yields=self.observing or sender.generation < self.own_record.generation, now=now
+                )
                 self.rival = sender if self.observing else None
 
-    def _contested(self, other: Record, out: bool, now: float) -> None:
+    def _on_name_conflict(self, other: Record, yields: bool, now: float) -> None:
         self.counts["contested"] += 1
-        if out and not self.observing:
+        if yields and not self.observing:
             self.observing = True
             self.rival = other
             self._digest = self._buckets = None
             self.changed_at = now
-        self._event("taken", other, "stays out" if self.observing else "the other stays out")
+        self._emit("taken", other, "stays out" if self.observing else "the other stays out")
 
     def _challenge_rival(self, other: Record, now: float, tries: int = 3) -> None:
         """Send a PING to another process with this name, unless one is pending."""
         if self._challenge is None:
-            number = self._next_number()
+            number = self._new_probe_number()
             self._challenge = (number, other, now + 2 * self.terms.answer_timeout, tries - 1)
             self._send_to(
-                other.address, other.name, other.generation, min(other.wire, wire.NEWEST), wire.PING, probe=number
+                other.address,
+                other.name,
+                other.generation,
+                min(other.wire, wire.NEWEST_VERSION),
+                wire.PING,
+                probe=number,
             )
 
     def _challenge_unanswered(self, now: float) -> None:
@@ -480,7 +488,7 @@
             return
         # The other process is gone: take the name with a greater generation.
         if self.rival is not None:
-            self._event("freed", other)
+            self._emit("freed", other)
         self.rival = None
         if other.generation >= self.own_record.generation:
             self._start_generation(other.generation + 1, now)
@@ -495,7 +503,7 @@
 
     def _own_record_changed(self, now: float) -> None:
         self._digest = self._buckets = None
-        self._gossip[self.own_record.name] = 0
+        self._gossip_counts[self.own_record.name] = 0
         self.changed_at = now
 
     def _announce(self, now: float, state: int = 0, service: int | None = None) -> None:
@@ -512,7 +520,7 @@
         me = self.own_record
         if self.leaving:
             return
-        if record.generation == me.generation and self.observing and not self._goes_on:
+        if record.generation == me.generation and self.observing and not self._continues:
             # Others cannot know a generation that has not joined: an earlier process had it before a clock set-back.
             self._start_generation(me.generation + 1, now)
         elif record.generation == me.generation:
@@ -523,7 +531,7 @@
                 self.own_record = msgspec.structs.replace(me, incarnation=record.incarnation)
                 self._announce(now)
                 self.counts["refutations"] += 1
-                self.health = min(HEALTH_MOST, self.health + 1)
+                self.health = min(MAX_HEALTH, self.health + 1)
             elif record.incarnation > me.incarnation:
                 self.own_record = msgspec.structs.replace(me, incarnation=record.incarnation)
                 self._announce(now)
@@ -547,22 +555,22 @@
             member = self.members.get(probe.name)
             if member is None or member.record.state >= State.DEAD:
                 self._probe = None
-            elif now >= probe.ends:
+            elif now >= probe.deadline:
                 self._probe = None
-                self._unanswered(probe, member, now)
-            elif now >= probe.ask_at:
+                self._on_probe_unanswered(probe, member, now)
+            elif now >= probe.indirect_at:
                 # The datagram or its answer may have been lost: repeat it, and ask others for indirect probes.
                 self._send(member.record, wire.PING, probe=probe.number)
-                helpers = [m for m in self._alive() if m is not member]
-                for helper in self._random.sample(helpers, min(HELPERS, len(helpers))):
+                helpers = [m for m in self._live_members() if m is not member]
+                for helper in self._random.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
                     probe.asked += 1
                     self._send(helper.record, wire.ASK, probe=probe.number, target=probe.name)
-                probe.ask_at = now + self.terms.answer_timeout * (1.0 + self.health)
+                probe.indirect_at = now + self.terms.answer_timeout * (1.0 + self.health)
         if now >= self._next_probe and not self.observing:
             scale = 1.0 + self.health
             self._next_probe = now + self.terms.period * scale
             if (target := self._next_target()) is not None:
-                number = self._next_number()
+                number = self._new_probe_number()
                 self._probe = _Probe(
                     target.record.name, number, now + self.terms.answer_timeout * scale, self._next_probe
                 )
@@ -575,7 +583,7 @@
         """Return the next member to probe: each once in a round, in random order, so within two rounds."""
         while True:
             if not self._round:
-                self._round = [member.record.name for member in self._alive()]
+                self._round = [member.record.name for member in self._live_members()]
                 self._random.shuffle(self._round)
                 if not self._round:
                     return None
@@ -583,26 +591,26 @@
             if member is not None and member.record.state < State.DEAD:
                 return member
 
-    def _unanswered(self, probe: _Probe, member: Member, now: float) -> None:
+    def _on_probe_unanswered(self, probe: _Probe, member: Member, now: float) -> None:
         self.counts["probes_unanswered"] += 1
         missing = probe.asked - probe.refused
         # Helpers that sent not even a NACK: it may be this instance that receives nothing (Lifeguard).
-        self.health = min(HEALTH_MOST, self.health + (1 if missing else 0))
+        self.health = min(MAX_HEALTH, self.health + (1 if missing else 0))
         if member.record.state == State.ALIVE:
             record = msgspec.structs.replace(member.record, state=int(State.SUSPECT), by=self.own_record.name)
-            member.unsure = self.health * self.terms.period
+            member.extra_suspicion = self.health * self.terms.period
             self._apply(member, record, Observation.UNANSWERED, now)
         elif member.record.state == State.SUSPECT and self.own_record.name not in member.suspected_by:
             self._confirm(member, self.own_record.name)
 
     def _confirm(self, member: Member, name: str) -> None:
         """Count another member that suspects it: each confirmation shortens the suspicion timeout."""
-        if name and name not in member.suspected_by and len(member.suspected_by) <= HELPERS:
+        if name and name not in member.suspected_by and len(member.suspected_by) <= INDIRECT_PROBES:
             member.suspected_by.add(name)
             member.record = msgspec.structs.replace(member.record, by=name)
-            self._gossip[member.record.name] = 0
+            self._gossip_counts[member.record.name] = 0
 
-    def _answer(self, message: wire.Message, now: float) -> None:
+    def _on_message(self, message: wire.Message, now: float) -> None:
         sender, kind = message.sender, message.kind
         if kind == wire.PING:
             self._send(sender, wire.ACK, probe=message.probe)
@@ -611,26 +619,26 @@
                 self._probe = None
                 self.health = max(0, self.health - 1)
                 self._next_probe = min(self._next_probe, now + self.terms.period * (1.0 + self.health))
-            elif (favour := self._favours.pop(message.probe, None)) is not None:
+            elif (indirect := self._indirect_probes.pop(message.probe, None)) is not None:
                 # Pass on the target's own record, which may refute a suspicion.
-                self._send(favour.sender, wire.ACK, probe=favour.number, target=sender.name, records=(sender,))
+                self._send(indirect.sender, wire.ACK, probe=indirect.number, target=sender.name, records=(sender,))
             elif (probe := self._probe) is not None and probe.number == message.probe and probe.name == message.target:
                 self._probe = None
                 self.counts["probes_indirect"] += 1
         elif kind == wire.ASK:
             target = self.members.get(message.target)
-            if target is None or len(self._favours) >= 4 * HELPERS + len(self.members):
+            if target is None or len(self._indirect_probes) >= 4 * INDIRECT_PROBES + len(self.members):
                 self._send(sender, wire.NACK, probe=message.probe)
                 return
-            number = self._next_number()
+            number = self._new_probe_number()
             # A timely NACK shows the asking member that its own connection works (Lifeguard).
-            self._favours[number] = _Favour(sender, message.probe, now + 1.2 * self.terms.answer_timeout)
+            self._indirect_probes[number] = _IndirectProbe(sender, message.probe, now + 1.2 * self.terms.answer_timeout)
             self._send(target.record, wire.PING, probe=number)
         elif kind == wire.NACK:
             if (probe := self._probe) is not None and probe.number == message.probe:
                 probe.refused += 1
         elif kind in (wire.SYNC, wire.REPLY):
-            self._compared(message)
+            self._on_sync(message)
 
     # -- records ---------------------------------------------------------------------------------------
 
@@ -653,8 +661,8 @@
                 member.suspected_by = {record.by}
                 self._not_alive[record.name] = member
             self._round.insert(self._random.randint(0, len(self._round)), record.name)
-            self._told_of(record, now)
-            self._event("joined", record)
+            self._record_changed(record, now)
+            self._emit("joined", record)
         elif record.order > member.record.order:
             self._apply(member, record, OBSERVATIONS[State(record.state)], now)
         elif record.order == member.record.order:
@@ -675,27 +683,27 @@
         else:
             self._not_alive[record.name] = member
         if record.generation != before.generation:
-            member.digest = member.newest = -1
-            member.seen_numbers = 0
+            member.digest = member.newest_number = -1
+            member.seen_mask = 0
         if record.state == State.SUSPECT:
             if before.state != State.SUSPECT or record.order[:2] != before.order[:2]:
                 member.suspect_since, member.suspected_by = now, set()
                 if seen is not Observation.UNANSWERED:
-                    member.unsure = 0.0
+                    member.extra_suspicion = 0.0
             member.suspected_by.add(record.by)
         if record.state >= State.DEAD:
-            member.call_gap = self.terms.first_call_delay
+            member.contact_interval = self.terms.first_call_delay
             # A member that left on purpose is not contacted again.
-            member.call_at = now + member.call_gap if record.state == State.DEAD else inf
+            member.contact_at = now + member.contact_interval if record.state == State.DEAD else inf
         if record.state != before.state or record.generation != before.generation:
             member.since = now
-        self._told_of(record, now)
-        what = self._what(before, record)
+        self._record_changed(record, now)
+        what = self._event_name(before, record)
         if what:
-            self._event(what, record, record.by if record.state in (State.SUSPECT, State.DEAD) else "")
+            self._emit(what, record, record.by if record.state in (State.SUSPECT, State.DEAD) else "")
 
     @staticmethod
-    def _what(before: Record, after: Record) -> str:
+    def _event_name(before: Record, after: Record) -> str:
         if after.state == State.ALIVE:
             if before.state >= State.DEAD or after.generation != before.generation:
                 return "returned"
@@ -706,31 +714,33 @@
             return ""
         return {State.SUSPECT: "suspected", State.DEAD: "died", State.LEFT: "left"}[State(after.state)]
 
-    def _told_of(self, record: Record, now: float) -> None:
-        self._gossip[record.name] = 0
+    def _record_changed(self, record: Record, now: float) -> None:
+        self._gossip_counts[record.name] = 0
         self._digest = self._buckets = None
         self.changed_at = now
 
-    def _look_settled(self, now: float) -> None:
+    def _update_settled(self, now: float) -> None:
         """Update whether all live members last reported the digest of the local view."""
-        alive = self._alive()
+        alive = self._live_members()
         settled = not self.observing and all(m.record.state == State.ALIVE and m.digest == self.digest for m in alive)
         if settled != self.settled:
             self.settled = settled
             if settled:
-                self._event("settled", self.own_record, f"{len(alive) + 1} members, digest {self.digest:08x}")
+                self._emit("settled", self.own_record, f"{len(alive) + 1} members, digest {self.digest:08x}")
 
-    def _fresh(self, member: Member, number: int) -> bool:
+    def _is_new_number(self, member: Member, number: int) -> bool:
         """Return whether the sequence number is new; one that is older than the window counts as a duplicate."""
-        if number > member.newest:
-            shift = number - member.newest
-            member.seen_numbers = (member.seen_numbers << shift | 1) & (1 << WINDOW) - 1 if shift < WINDOW else 1
-            member.newest = number
+        if number > member.newest_number:
+            shift = number - member.newest_number
+            member.seen_mask = (
+                (member.seen_mask << shift | 1) & (1 << SEQUENCE_WINDOW) - 1 if shift < SEQUENCE_WINDOW else 1
+            )
+            member.newest_number = number
             return True
-        back = member.newest - number
-        if back >= WINDOW or member.seen_numbers >> back & 1:
+        back = member.newest_number - number
+        if back >= SEQUENCE_WINDOW or member.seen_mask >> back & 1:
             return False
-        member.seen_numbers |= 1 << back
+        member.seen_mask |= 1 << back
         return True
 
     # -- anti-entropy ------------------------------------------------------------------------------
@@ -745,17 +755,17 @@
             self._buckets = b"".join((total & 0xFFFFFFFF).to_bytes(4, "big") for total in sums)
         return self._buckets
 
-    def _compare(self, member: Member, now: float) -> None:
+    def _send_sync(self, member: Member, now: float) -> None:
         self.counts["syncs"] += 1
         self._send(member.record, wire.SYNC, buckets=self._bucket_bytes())
 
-    def _compared(self, message: wire.Message) -> None:
+    def _on_sync(self, message: wire.Message) -> None:
         """Send the records of the buckets that differ; a SYNC is also answered with the own checksums."""
-        mine, theirs = self._bucket_bytes(), message.buckets
-        if len(theirs) != len(mine):
+        own, theirs = self._bucket_bytes(), message.buckets
+        if len(theirs) != len(own):
             self.counts["garbage"] += 1
             return
-        differ = {n for n in range(BUCKETS) if mine[4 * n : 4 * n + 4] != theirs[4 * n : 4 * n + 4]}
+        differ = {n for n in range(BUCKETS) if own[4 * n : 4 * n + 4] != theirs[4 * n : 4 * n + 4]}
         records = [
             member.record
             for name, member in self.members.items()
@@ -764,17 +774,17 @@
         # Live members first; what does not fit is sent in a later exchange.
         records.sort(key=lambda record: (record.state >= State.DEAD, self._random.random()))
         if message.kind == wire.SYNC:
-            sent = self._send(message.sender, wire.REPLY, buckets=mine, records=records, only=True)
+            sent = self._send(message.sender, wire.REPLY, buckets=own, records=records, without_gossip=True)
         else:
             sent = 0
-        for _ in range(REPLIES_MOST):
+        for _ in range(MAX_REPLY_DATAGRAMS):
             if sent >= len(records):
                 return
-            sent += self._send(message.sender, wire.RECORDS, records=records[sent:], only=True)
+            sent += self._send(message.sender, wire.RECORDS, records=records[sent:], without_gossip=True)
 
     # -- sending datagrams -------------------------------------------------------------------------------
 
-    def _next_number(self) -> int:
+    def _new_probe_number(self) -> int:
         return self._random.getrandbits(48)
 
     def _send(
@@ -785,7 +795,7 @@
         target: str = "",
         buckets: bytes = b"",
         records: Iterable[Record] = (),
-        only: bool = False,
+        without_gossip: bool = False,
     ) -> int:
         """Send a datagram to a member and return how many of `records` it holds; `only`: without gossip."""
         first = [record for record in records if record.name != to.name]
@@ -793,40 +803,40 @@
         if member is not None and (member.record.state != State.ALIVE or member.record.generation != to.generation):
             first.insert(0, member.record)  # the receiver must first learn what is known of it, so that it can refute
         own = len(first)
-        gossip = [] if only else self._chosen({record.name for record in first} | {to.name})
+        gossip = [] if without_gossip else self._gossip_records({record.name for record in first} | {to.name})
         sent = self._send_to(
             to.address,
             to.name,
             to.generation,
-            min(to.wire, wire.NEWEST),
+            min(to.wire, wire.NEWEST_VERSION),
             kind,
             probe,
             target,
             buckets,
             [*first, *gossip],
         )
-        limit = GOSSIP * ceil(log2(len(self.members) + 2))
+        limit = GOSSIP_FACTOR * ceil(log2(len(self.members) + 2))
         for record in [*first, *gossip][own:sent]:
-            self._gossip[record.name] += 1
-            if self._gossip[record.name] >= limit:
-                del self._gossip[record.name]
+            self._gossip_counts[record.name] += 1
+            if self._gossip_counts[record.name] >= limit:
+                del self._gossip_counts[record.name]
         return min(sent, own)
 
-    def _chosen(self, without: set[str]) -> list[Record]:
+    def _gossip_records(self, excluded: set[str]) -> list[Record]:
         """Return the records to send as gossip, those that were sent least often first."""
-        if not self._gossip:
+        if not self._gossip_counts:
             return []
         names = sorted(
-            (times, self._random.random(), name) for name, times in self._gossip.items() if name not in without
+            (times, self._random.random(), name) for name, times in self._gossip_counts.items() if name not in excluded
         )
-        found = []
-        for _, _, name in names[: wire.RECORDS_MOST]:
+        records = []
+        for _, _, name in names[: wire.MAX_RECORDS]:
             if name == self.own_record.name:
                 if not self.observing:
-                    found.append(self.own_record)
+                    records.append(self.own_record)
             elif name in self.members:
-                found.append(self.members[name].record)
-        return found
+                records.append(self.members[name].record)
+        return records
 
     def _send_to(
         self,
@@ -855,25 +865,25 @@
             buckets,
             known_count=self.known_count,
         )
-        data, held = wire.write(message, records, version, self.terms.datagram)
+        data, written_count = wire.write(message, records, version, self.terms.datagram)
         self.counts["sent"] += 1
         self.counts["bytes"] += len(data)
         self._actions.append(Send(address, data))
-        return held
+        return written_count
 
-    def _event(self, what: str, record: Record, told: str = "") -> None:
-        found = Changed(what, record.name, record.generation, record.incarnation, told)
+    def _emit(self, what: str, record: Record, detail: str = "") -> None:
+        event = Changed(what, record.name, record.generation, record.incarnation, detail)
         self._event_number += 1
-        self.recent_events.append((self._event_number, self.changed_at, found))
-        self._actions.append(found)
+        self.recent_events.append((self._event_number, self.changed_at, event))
+        self._actions.append(event)
 
-    def _done(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
         out, self._actions = self._actions, []
         return out
 
-    def _ignore(self, why: str) -> list[Action]:
-        self.counts[why] += 1
-        return self._done()
+    def _count_ignored(self, counter: str) -> list[Action]:
+        self.counts[counter] += 1
+        return self._take_actions()
 
 
 def _bucket(name: str) -> int:
--- a/thistleshore/fleet/model.py
+++ b/thistleshore/fleet/model.py
@@ -22,11 +22,11 @@
 
 MAX_NAME_LENGTH = 64  # characters of a name or a zone
 MAX_MEMBERS = 1024
-HEALTH_MOST = 8  # greatest health score (Lifeguard): probe times grow up to (1 + score)-fold
-HELPERS = 3  # members that are asked for an indirect probe
-GOSSIP = 4  # transmissions of a record for each doubling of the fleet size
+MAX_HEALTH = 8  # greatest health score (Lifeguard): probe times grow up to (1 + score)-fold
+INDIRECT_PROBES = 3  # members that are asked for an indirect probe
+GOSSIP_FACTOR = 4  # transmissions of a record for each doubling of the fleet size
 BUCKETS = 32  # checksums of a view by hash of the name, to find which records differ
-PROBES_LATE = 0.5  # periods; a timer that is later than this means that this process was stopped or starved
+MAX_LATENESS = 0.5  # periods; a timer that is later than this means that this process was stopped or starved
 
 
 class State(IntEnum):
@@ -121,7 +121,7 @@
         """Return the precedence: of two records of one member the greater wins."""
         return self.generation, self.incarnation, self.state
 
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether all values are within their bounds."""
         return (
             0 < len(self.name) <= MAX_NAME_LENGTH
@@ -177,12 +177,12 @@
 
     def suspicion_timeout(self, fleet: int, confirmed: int) -> float:
         """Return the suspicion timeout in a fleet of that size after so many confirmations by others (Lifeguard)."""
-        least = self.suspicion * max(1.0, math.log10(max(fleet, 1))) * self.period
-        wanted = min(HELPERS, fleet - 2)
-        if wanted <= 0 or confirmed >= wanted:
-            return least
-        most = self.stretch * least
-        return most - (most - least) * math.log(confirmed + 1) / math.log(wanted + 1)
+        shortest = self.suspicion * max(1.0, math.log10(max(fleet, 1))) * self.period
+        confirmations = min(INDIRECT_PROBES, fleet - 2)
+        if confirmations <= 0 or confirmed >= confirmations:
+            return shortest
+        longest = self.stretch * shortest
+        return longest - (longest - shortest) * math.log(confirmed + 1) / math.log(confirmations + 1)
 
     # -- bounds for tests and operators; they hold without datagram loss and with healthy instances --
 
--- a/thistleshore/fleet/wire.py
+++ b/thistleshore/fleet/wire.py
@@ -17,10 +17,10 @@
 from thistleshore.fleet.model import MAX_NAME_LENGTH, Record
 
 MAGIC = b"tF"
-OLDEST, NEWEST = 1, 2
-HEAD = struct.Struct("!2sBI")
-FIELDS = {1: 11, 2: 12}  # number of fields of a record by version
-RECORDS_MOST = 64  # records in one datagram
+OLDEST_VERSION, NEWEST_VERSION = 1, 2
+HEADER = struct.Struct("!2sBI")
+FIELD_COUNTS = {1: 11, 2: 12}  # number of fields of a record by version
+MAX_RECORDS = 64  # records in one datagram
 
 PING, ACK, ASK, NACK, SYNC, REPLY, RECORDS = range(7)
 
@@ -47,7 +47,7 @@
     known_count: int = 0  # number of members that the sender knows, including dead ones
 
 
-class _Written(msgspec.Struct, array_like=True):
+class _EncodedMessage(msgspec.Struct, array_like=True):
     """The same fields as Message, with records that are encoded already."""
 
     fleet: str
@@ -72,30 +72,30 @@
 @lru_cache(maxsize=4096)
 def record_bytes(record: Record, version: int) -> bytes:
     """Return the encoding of a record in that version."""
-    return _encoder.encode(msgspec.structs.astuple(record)[: FIELDS[version]])
+    return _encoder.encode(msgspec.structs.astuple(record)[: FIELD_COUNTS[version]])
 
 
-def write(message: Message, records: Sequence[Record], version: int, most: int) -> tuple[bytes, int]:
-    """Return a datagram of at most `most` bytes with as many leading records as fit, and the number of those."""
+def write(message: Message, records: Sequence[Record], version: int, max_bytes: int) -> tuple[bytes, int]:
+    """Return a datagram of at most `max_bytes` bytes with as many leading records as fit, and the number of those."""
     sender = record_bytes(message.sender, version)
     # 48 bytes suffice for all numbers and the MessagePack headers of all fields.
     room = (
-        most
-        - HEAD.size
+        max_bytes
+        - HEADER.size
         - 48
         - len(sender)
         - sum(len(text.encode()) + 3 for text in (message.fleet, message.to, message.target))
         - len(message.buckets)
     )
-    raw: list[msgspec.Raw] = []
-    for record in records[:RECORDS_MOST]:
+    encoded: list[msgspec.Raw] = []
+    for record in records[:MAX_RECORDS]:
         data = record_bytes(record, version)
         if len(data) > room:
             break
         room -= len(data)
-        raw.append(msgspec.Raw(data))
+        encoded.append(msgspec.Raw(data))
     body = _encoder.encode(
-        _Written(
+        _EncodedMessage(
             message.fleet,
             message.to,
             message.to_generation,
@@ -107,27 +107,27 @@
             msgspec.Raw(sender),
             message.target,
             message.buckets,
-            raw,
+            encoded,
             message.known_count,
         )
     )
-    return HEAD.pack(MAGIC, version, crc32(body)) + body, len(raw)
+    return HEADER.pack(MAGIC, version, crc32(body)) + body, len(encoded)
 
 
-def read(data: bytes, fleet: str, most: int) -> Message:
+def read(data: bytes, fleet: str, max_bytes: int) -> Message:
     """Return the decoded datagram.
 
     Raises DatagramError.  The cheap checks come first, as any host may send any bytes.
     """
-    if len(data) > most or len(data) <= HEAD.size:
+    if len(data) > max_bytes or len(data) <= HEADER.size:
         raise DatagramError("size")
-    magic, version, told = HEAD.unpack_from(data)
+    magic, version, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise DatagramError("garbage")
-    if not OLDEST <= version <= NEWEST:
+    if not OLDEST_VERSION <= version <= NEWEST_VERSION:
         raise DatagramError("version")
-    body = data[HEAD.size :]
-    if crc32(body) != told:
+    body = data[HEADER.size :]
+    if crc32(body) != checksum:
         raise DatagramError("garbage")
     try:
         message = _decoder.decode(body)
@@ -137,9 +137,9 @@
         raise DatagramError("fleet")
     if not (
         PING <= message.kind <= RECORDS
-        and message.sender.sound()
-        and len(message.records) <= RECORDS_MOST
-        and all(record.sound() for record in message.records)
+        and message.sender.is_valid()
+        and len(message.records) <= MAX_RECORDS
+        and all(record.is_valid() for record in message.records)
         and len(message.target) <= MAX_NAME_LENGTH
         and len(message.to) <= MAX_NAME_LENGTH
         and 0 <= message.known_count < 1 << 31
