--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""The view of the fleet: machines in virtual time with a network that breaks, and the datagrams."""
+"""Fleet membership: state machines on a simulated faulty network in virtual time, datagrams, settings and calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 TERMS = Terms(period=0.2)
 
 
-def fleet(count: int, seed: int = 1, versions: dict[str, int] | None = None) -> Net:
+def settled_fleet(count: int, seed: int = 1, versions: dict[str, int] | None = None) -> Net:
     names = [f"n{n}" for n in range(count)]
     net = Net(names, TERMS, seed, versions=versions)
     for name in names:
@@ -35,22 +35,22 @@
     return net
 
 
-def believed_dead(net: Net) -> set[tuple[str, str]]:
-    """Who holds whom for dead or gone, of those that live."""
+def live_members_believed_dead(net: Net) -> set[tuple[str, str]]:
+    """Return the pairs of an observer and a live member that it believes DEAD or LEFT."""
     return {(node.name, name) for node in net.nodes.values() if node.machine is not None
             for name, member in node.machine.members.items()
             if member.record.state >= State.DEAD and (n := net.nodes.get(name)) and n.machine is not None}  # fmt: skip
 
 
-def died(net: Net, since: float) -> list[str]:
+def death_events_after(net: Net, since: float) -> list[str]:
     return [event.name for node in net.nodes.values() for when, event in node.events
             if event.what == "died" and when > since]  # fmt: skip
 
 
 @pytest.mark.parametrize("count", [3, 8, 16])
-def test_a_fleet_settles_after_a_join_a_crash_and_a_return(count: int) -> None:
-    net = fleet(count)
-    # Each has heard every other's digest after a round of probes.
+def test_a_fleet_settles_after_a_join_a_crash_and_a_restart(count: int) -> None:
+    net = settled_fleet(count)
+    # After a round of probes each member knows the digests of all others.
     known_count = net.run_until(lambda: all(m.majority and m.settled for m in net.live()), 2 * count * TERMS.period)
     assert known_count is not None
     net.kill("n1")
@@ -58,12 +58,12 @@
     net.start("n1", ["n0", "n1"])
     assert net.run_until(net.settled, TERMS.healing_bound(count)) is not None
     net.run(net.now + 3)
-    assert net.settled() and not believed_dead(net)
+    assert net.settled() and not live_members_believed_dead(net)
 
 
 @pytest.mark.parametrize("parts", [2, 3])
-def test_a_cut_fleet_heals_in_steps_and_only_a_majority_says_that_it_is_one(parts: int) -> None:
-    net = fleet(7)
+def test_a_partitioned_fleet_heals_and_only_a_majority_reports_majority(parts: int) -> None:
+    net = settled_fleet(7)
     names = list(net.nodes)
     net.cut = halves(names, parts)
     groups = [names[n::parts] for n in range(parts)]
@@ -71,7 +71,7 @@
     assert net.run_until(lambda: all(net.settled(group) for group in groups), bound) is not None
     for group in groups:
         assert {net.nodes[name].machine.majority for name in group} == {2 * len(group) > 7}  # type: ignore[union-attr]
-    if parts == 3:  # the first two first
+    if parts == 3:  # the first two groups reunite first
         net.cut = lambda a, b: (a in groups[2]) != (b in groups[2])
         assert net.run_until(lambda: net.settled(groups[0] + groups[1]), TERMS.healing_bound(7)) is not None
     net.cut = lambda a, b: False
@@ -79,8 +79,8 @@
     assert all(m.majority for m in net.live())
 
 
-def test_one_that_joins_a_minority_does_not_take_it_for_the_fleet() -> None:
-    net = fleet(7)
+def test_a_member_that_joins_a_minority_reports_no_majority() -> None:
+    net = settled_fleet(7)
     net.kill("n6")
     net.run(net.now + TERMS.detection_bound(7))
     net.cut = halves(net.nodes)
@@ -92,41 +92,41 @@
     assert net.settled(["n3", "n5", "n6"]) and not joined.majority
 
 
-def test_a_one_way_cut_between_two_declares_nobody_dead() -> None:
-    net = fleet(5)
+def test_a_one_way_loss_between_two_members_declares_nobody_dead() -> None:
+    net = settled_fleet(5)
     net.cut = lambda a, b: (a, b) == ("n0", "n1")
     since = net.now
     net.run(net.now + 30)
-    assert net.settled() and not died(net, since)
+    assert net.settled() and not death_events_after(net, since)
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.3])
 def test_lost_datagrams_leave_no_live_member_dead(loss: float) -> None:
-    net = fleet(6)
+    net = settled_fleet(6)
     net.loss = loss
     net.run(net.now + 60)
     net.loss = 0.0
     assert net.run_until(net.settled, TERMS.healing_bound(6)) is not None
-    assert not believed_dead(net)
+    assert not live_members_believed_dead(net)
 
 
 @pytest.mark.parametrize("seconds", [0.5, 3.0, 30.0])
-def test_one_that_was_stopped_declares_nobody_dead_and_is_taken_back(seconds: float) -> None:
-    net = fleet(5)
+def test_a_stopped_member_declares_nobody_dead_and_returns(seconds: float) -> None:
+    net = settled_fleet(5)
     since = net.now
     net.stop("n2", seconds)
     net.run(net.now + seconds)
     assert net.run_until(net.settled, TERMS.healing_bound(5)) is not None
     net.run(net.now + 2)
-    assert set(died(net, since)) <= {"n2"} and (seconds > 1 or not died(net, since))
+    assert set(death_events_after(net, since)) <= {"n2"} and (seconds > 1 or not death_events_after(net, since))
     assert not any(event.what == "suspected" and when > since + seconds for when, event in net.nodes["n2"].events)
 
 
-def test_news_that_one_alone_holds_while_it_is_stopped_gets_out() -> None:
-    net = fleet(5, seed=3)
+def test_a_change_made_just_before_a_stop_reaches_all_members() -> None:
+    net = settled_fleet(5, seed=3)
     machine = net.nodes["n2"].machine
     assert machine is not None
-    machine.on_service(Service.DRAINING, net.now)  # nothing of it was sent
+    machine.on_service(Service.DRAINING, net.now)  # no datagram with it was sent
     net.stop("n2", 3.0)
     net.run(net.now + 3.0)
     assert net.run_until(net.settled, TERMS.healing_bound(5)) is not None
@@ -134,8 +134,8 @@
     assert all(r.service == Service.DRAINING for m in net.live() for r in m.living() if r.name == "n2")
 
 
-def test_half_of_the_fleet_stopped_at_once_comes_back() -> None:
-    net = fleet(8)
+def test_a_fleet_recovers_after_half_of_it_was_stopped() -> None:
+    net = settled_fleet(8)
     for name in ("n0", "n2", "n4", "n6"):
         net.stop(name, 8.0)
     net.run(net.now + 7.9)
@@ -144,8 +144,8 @@
     assert net.run_until(net.settled, TERMS.healing_bound(8)) is not None
 
 
-def test_all_killed_and_started_at_once_are_new_lives() -> None:
-    net = fleet(6)
+def test_members_restarted_all_at_once_have_new_generations() -> None:
+    net = settled_fleet(6)
     old = {m.own_record.name: m.own_record.generation for m in net.live()}
     for name in net.nodes:
         net.kill(name)
@@ -155,8 +155,8 @@
     assert all(r.generation > old[r.name] for m in net.live() for r in m.living())
 
 
-def test_a_name_that_restarts_five_times_in_ten_seconds_is_no_conflict() -> None:
-    net = fleet(4)
+def test_five_restarts_in_ten_seconds_are_no_name_conflict() -> None:
+    net = settled_fleet(4)
     for _ in range(5):
         net.kill("n3")
         net.run(net.now + 0.4)
@@ -167,8 +167,8 @@
 
 
 @pytest.mark.parametrize("generation", [1, 10**12])
-def test_a_restart_with_the_clock_set_back_or_ahead_is_a_later_life(generation: int) -> None:
-    net = fleet(4)
+def test_a_restart_with_the_clock_set_back_or_ahead_has_a_later_generation(generation: int) -> None:
+    net = settled_fleet(4)
     before = net.nodes["n3"].machine.own_record.generation  # type: ignore[union-attr]
     net.kill("n3")
     machine = net.start("n3", ["n0", "n1"], generation=generation)
@@ -177,9 +177,9 @@
     assert net.settled() and machine.own_record.generation > before and not machine.observing
 
 
-def test_a_restart_that_finds_its_own_life_taken_is_a_later_one() -> None:
-    """Else its datagrams, which are numbered anew, would count as repeated, and it would be suspected."""
-    net = fleet(4)
+def test_a_restart_whose_generation_is_known_already_takes_a_later_one() -> None:
+    """Otherwise its datagrams, numbered from the start again, count as duplicates, and it becomes suspect."""
+    net = settled_fleet(4)
     generation = net.nodes["n3"].machine.own_record.generation  # type: ignore[union-attr]
     net.kill("n3")
     machine = net.start("n3", ["n0", "n1"], generation=generation)
@@ -191,8 +191,8 @@
     assert not any(event.what == "suspected" for event in events)
 
 
-def test_a_life_that_goes_on_in_another_process_is_heard_at_once() -> None:
-    net = fleet(4)
+def test_datagrams_are_accepted_after_a_hot_restart_continues_a_generation() -> None:
+    net = settled_fleet(4)
     node = net.nodes["n3"]
     before = node.machine
     assert before is not None
@@ -208,8 +208,8 @@
 
 
 @pytest.mark.parametrize("returns", [True, False])
-def test_one_whose_successor_died_is_heard_again_only_beyond_all_that_that_one_said(returns: bool) -> None:
-    net = fleet(5)
+def test_a_predecessor_that_resumes_must_exceed_the_numbers_of_its_successor(returns: bool) -> None:
+    net = settled_fleet(5)
     old = net.nodes["n1"].machine
     assert old is not None
     me = msgspec.structs.replace(old.own_record, incarnation=old.own_record.incarnation + 64)
@@ -224,21 +224,21 @@
         net._arm(net.nodes["n1"])
     at = net.now
     net.run(net.now + TERMS.detection_bound(5) + TERMS.spread_bound(5))
-    assert ("n1" in died(net, at)) != returns
+    assert ("n1" in death_events_after(net, at)) != returns
 
 
-def test_a_joiner_whose_seeds_are_dead_joins_once_one_lives() -> None:
-    net = fleet(3)
+def test_a_member_whose_seeds_are_down_joins_once_one_is_up() -> None:
+    net = settled_fleet(3)
     alone = Net(["x", "y"], TERMS, 4)
     machine = alone.start("x", ["y"])
     alone.run(5.0)
-    assert not machine.observing and not machine.majority  # it has heard no seed: it may be cut off
+    assert not machine.observing and not machine.majority  # no seed answered: it may be partitioned
     alone.start("y", [])
     assert alone.run_until(alone.settled, TERMS.healing_bound(2)) is not None and machine.majority
     assert net.settled()
 
 
-def test_two_fleets_of_one_name_become_one() -> None:
+def test_two_partitions_of_one_fleet_merge() -> None:
     names = [f"n{n}" for n in range(6)]
     net = Net(names, TERMS, 5)
     net.cut = halves(names)
@@ -250,8 +250,8 @@
     assert net.run_until(net.settled, TERMS.healing_bound(6)) is not None
 
 
-def test_one_that_leaves_in_a_cut_and_comes_back_under_its_name() -> None:
-    net = fleet(5)
+def test_a_member_that_leaves_in_a_partition_can_rejoin_under_its_name() -> None:
+    net = settled_fleet(5)
     net.cut = lambda a, b: (a in ("n3", "n4")) != (b in ("n3", "n4"))
     net.run(net.now + 1)
     net.leave("n4")
@@ -262,18 +262,18 @@
     assert net.run_until(net.settled, TERMS.detection_bound(5) + TERMS.healing_bound(5)) is not None
 
 
-def test_a_goodbye_is_no_crash() -> None:
-    net = fleet(6)
+def test_a_leave_is_not_taken_for_a_crash() -> None:
+    net = settled_fleet(6)
     since = net.now
     net.leave("n5")
     assert net.run_until(net.settled, TERMS.spread_bound(6)) is not None
-    assert not died(net, since) and all(m.majority and m.known_count == 5 for m in net.live())
+    assert not death_events_after(net, since) and all(m.majority and m.known_count == 5 for m in net.live())
     net.run(net.now + TERMS.left_retention + 5)
     assert all("n5" not in m.members for m in net.live())
 
 
-def test_repeated_datagrams_change_nothing_and_those_of_an_earlier_life_neither() -> None:
-    net = fleet(4)
+def test_duplicates_and_datagrams_of_an_earlier_generation_change_nothing() -> None:
+    net = settled_fleet(4)
     net.repeat = 0.5
     kept: list[tuple[bytes, str]] = []
     carry = net._carry
@@ -299,8 +299,8 @@
     assert net.settled() and machine.counts["earlier_life"] > before
 
 
-def test_of_two_live_processes_with_one_name_the_younger_stays_out() -> None:
-    net = fleet(3)
+def test_of_two_processes_with_one_name_the_later_one_stays_out() -> None:
+    net = settled_fleet(3)
     net.nodes["late"] = node = type(net.nodes["n0"])("late", ("127.0.0.1", 8999))
     net._by_address[node.address] = node
     late = net.start("late", ["n0", "n1"], called="n2")
@@ -312,7 +312,7 @@
     assert all(
         m.members["n2"].record.address == first.own_record.address for m in net.live() if m.own_record.name != "n2"
     )
-    # Once the older one is gone the name is free.
+    # Once the earlier process is gone, the name is free.
     net.kill("n2")
     assert net.run_until(lambda: not late.observing, TERMS.max_call_interval * 2.5) is not None
     net.run(net.now + 3)
@@ -321,7 +321,7 @@
     )
 
 
-def test_two_of_one_name_that_meet_after_a_cut_are_told_apart() -> None:
+def test_two_processes_with_one_name_are_told_apart_after_a_partition() -> None:
     names = ["n0", "n1", "n2", "twin"]
     net = Net(names, TERMS, 8)
     net.cut = lambda a, b: (a in ("n1", "twin")) != (b in ("n1", "twin"))
@@ -339,8 +339,8 @@
     )
 
 
-def test_forget_frees_the_dead_and_never_the_living() -> None:
-    net = fleet(5)
+def test_forget_removes_dead_members_and_never_live_ones() -> None:
+    net = settled_fleet(5)
     for name in ("n3", "n4"):
         net.kill(name)
     net.run(net.now + TERMS.detection_bound(5))
@@ -356,7 +356,7 @@
 
 
 def test_members_of_two_wire_versions_settle() -> None:
-    net = fleet(5, versions={"n0": 1, "n2": 1})
+    net = settled_fleet(5, versions={"n0": 1, "n2": 1})
     assert all(wire.HEADER.unpack_from(a.data)[1] == 1 for a in net.nodes["n1"].machine.on_leave(net.now)  # type: ignore[union-attr]
                if isinstance(a, Send) and a.address == net.nodes["n0"].address)  # fmt: skip
 
@@ -386,7 +386,7 @@
     assert list(found.records) == [OTHER] and found.known_count == 3
 
 
-def test_a_field_that_a_later_version_adds_is_passed_over() -> None:
+def test_fields_of_later_versions_are_ignored() -> None:
     data, _ = wire.write(message(), [], 2, 1200)
     values = msgspec.msgpack.decode(data[wire.HEADER.size :])
     values[8].append("new")
@@ -398,18 +398,18 @@
 
 @steady
 @given(GARBAGE, st.integers(0, 400), st.integers(1, 255))
-def test_what_is_no_datagram_of_ours_changes_nothing(data: bytes, at: int, flip: int) -> None:
+def test_invalid_datagrams_change_nothing(data: bytes, at: int, flip: int) -> None:
     good, _ = wire.write(message(), [OTHER], 2, 1200)
-    spoilt = bytearray(good)
-    spoilt[at % len(spoilt)] ^= flip
+    corrupted = bytearray(good)
+    corrupted[at % len(corrupted)] ^= flip
     machine = Fleet("k", msgspec.structs.replace(ME, name="b"), TERMS, [("127.0.0.1", 1)], 0.0)
     framed = wire.HEADER.pack(b"tF", 2, wire.crc32(data)) + data
-    for text in (data, bytes(spoilt), good[: at % len(good)], good + b"x", framed):
+    for text in (data, bytes(corrupted), good[: at % len(good)], good + b"x", framed):
         assert machine.on_datagram(text, "127.0.0.1", 0.0) == []
     assert not machine.members and sum(machine.counts.values()) == 5
 
 
-def test_strangers_are_counted_by_kind() -> None:
+def test_rejected_datagrams_are_counted_by_reason() -> None:
     me = msgspec.structs.replace(ME, name="b")
     machine = Fleet("k", me, TERMS, [], 0.0, allowed=lambda host: host == "127.0.0.1")
     good, _ = wire.write(message(), [], 2, 1200)
@@ -417,12 +417,12 @@
     machine.on_datagram(wire.write(msgspec.structs.replace(message(), fleet="x"), [], 2, 1200)[0], "127.0.0.1", 0.0)
     machine.on_datagram(b"tF\x09" + good[3:], "127.0.0.1", 0.0)
     machine.on_datagram(wire.write(msgspec.structs.replace(message(), to="q"), [], 2, 1200)[0], "127.0.0.1", 0.0)
-    abroad = msgspec.structs.replace(message(), sender=msgspec.structs.replace(ME, host="10.0.0.1"))
-    machine.on_datagram(wire.write(abroad, [], 2, 1200)[0], "127.0.0.1", 0.0)
+    foreign_sender = msgspec.structs.replace(message(), sender=msgspec.structs.replace(ME, host="10.0.0.1"))
+    machine.on_datagram(wire.write(foreign_sender, [], 2, 1200)[0], "127.0.0.1", 0.0)
     assert dict(machine.counts) == {"network": 2, "fleet": 1, "version": 1, "not_me": 1} and not machine.members
 
 
-def test_a_flood_of_false_members_is_bounded() -> None:
+def test_the_number_of_members_is_bounded() -> None:
     machine = Fleet("k", msgspec.structs.replace(ME, name="b"), TERMS, [], 0.0)
     for n in range(MAX_MEMBERS + 50):
         sender = msgspec.structs.replace(ME, name=f"x{n}", port=1 + n)
@@ -431,7 +431,7 @@
     assert len(machine.members) == MAX_MEMBERS and machine.counts["crowd"] == 50
 
 
-def test_datagrams_keep_to_their_size_whatever_there_is_to_tell() -> None:
+def test_datagrams_never_exceed_their_size_limit() -> None:
     names = [f"a-rather-long-name-of-a-member-{n:03}" for n in range(60)]
     net = Net(names, TERMS, 9)
     longest = 0
@@ -450,7 +450,7 @@
     assert 600 < longest <= TERMS.datagram
 
 
-# -- what is said later wins, in whatever order it comes
+# -- precedence of records, in any order of arrival
 
 RECORDS = st.builds(
     Record, st.sampled_from(["x", "y"]), st.just("127.0.0.1"), st.integers(1, 2), st.just(""), st.integers(1, 2),
@@ -460,8 +460,8 @@
 
 @steady
 @given(st.lists(RECORDS, max_size=12), st.randoms(use_true_random=False))
-def test_a_view_is_the_latest_of_what_was_said(told: list[Record], order: random.Random) -> None:
-    """Against a naive model: the greatest by (life, incarnation, state) of those that may begin a member."""
+def test_merging_in_any_order_keeps_the_record_of_highest_precedence(told: list[Record], order: random.Random) -> None:
+    """Compares with a naive model: the greatest (generation, incarnation, state) after a member is known alive."""
     alive = [Record(name, "127.0.0.1", 1, "", 1, 0, 0, 1, 2, "1") for name in ("x", "y")]
     naive = {name: max(r.order for r in [*told, *alive] if r.name == name) for name in ("x", "y")}
     for _ in range(3):
@@ -472,8 +472,8 @@
         order.shuffle(told)
 
 
-class Life(RuleBasedStateMachine):
-    """One machine that hears whatever others say, in any order and at any time, against what may never happen."""
+class MembershipInvariants(RuleBasedStateMachine):
+    """Invariants of one state machine that receives arbitrary records in any order and at any time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -505,8 +505,8 @@
     def holds(self) -> None:
         for name, member in self.machine.members.items():
             record, before = member.record, self.before.get(name)
-            assert record.order[:2] == self.latest[name][:2]  # its own word, and the latest of it
-            assert record.order >= self.latest[name]  # or what was made of it here: later, never earlier
+            assert record.order[:2] == self.latest[name][:2]  # the latest record that the member itself published
+            assert record.order >= self.latest[name]  # or a local state change of it, which only raises the precedence
             if before is not None and before.generation == record.generation:
                 assert record.order >= before.order
             if before is not None and before.state >= State.DEAD and record.state < State.DEAD:
@@ -514,28 +514,28 @@
         self.before = {name: member.record for name, member in self.machine.members.items()}
         for name in list(self.latest):
             if name not in self.machine.members:
-                del self.latest[name]  # aged: what comes of it now is news
+                del self.latest[name]  # removed: a later record makes it a new member
 
 
-Life.TestCase.settings = steady
-TestLife = Life.TestCase
+MembershipInvariants.TestCase.settings = steady
+TestMembershipInvariants = MembershipInvariants.TestCase
 
 
-def test_the_table_leaves_no_way_out_of_death_but_ones_own_word() -> None:
+def test_only_a_record_of_its_own_brings_a_dead_member_back() -> None:
     for (state, seen), after in TRANSITIONS.items():
         if state in (State.DEAD, State.LEFT) and after not in (None, State.DEAD, State.LEFT):
             assert seen in (
                 OBSERVATIONS[State.ALIVE],
                 OBSERVATIONS[State.SUSPECT],
-            )  # of a greater incarnation, which it alone gives
+            )  # of a greater incarnation, which only the member itself creates
     assert {after for (state, _), after in TRANSITIONS.items() if state is None} == {State.ALIVE, State.SUSPECT}
     assert len(list(itertools.chain(TRANSITIONS))) == len(set(TRANSITIONS))
 
 
-# -- the file, and the calls of operators
+# -- settings and operators' calls
 
 
-def test_the_supplied_file_and_its_faults(tmp_path: Path) -> None:
+def test_the_example_settings_and_errors_in_them(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "fleet.toml").read_text()
     plan = config.operator_file(str(ROOT / "deploy" / "fleet.toml"), 0.0)
     assert plan.fleet is not None and plan.fleet.seeds == (("127.0.0.1", 7951), ("127.0.0.1", 7952))
@@ -552,7 +552,7 @@
         refused(text, old, new, fault, tmp_path / "faulty.toml")
 
 
-def test_check_finds_what_clashes_across_files(tmp_path: Path) -> None:
+def test_check_finds_conflicts_between_settings_files(tmp_path: Path) -> None:
     text = (ROOT / "deploy" / "fleet.toml").read_text()
     files = []
     for n, changes in enumerate(({}, {"7950": "7951", "kigali-1": "kigali-2"}, {"7950": "7952"})):
@@ -563,18 +563,18 @@
         files[-1].write_text(made)
     run = CliRunner().invoke(commands, ["check", *map(str, files)])
     assert run.exit_code == 2 and "'kigali-1' is another member" in run.stderr and "seeds" not in run.stderr
-    assert CliRunner().invoke(commands, ["check", *map(str, files[:2])]).exit_code == 2  # 7952 is nobody's
+    assert CliRunner().invoke(commands, ["check", *map(str, files[:2])]).exit_code == 2  # no member has 7952
     assert CliRunner().invoke(commands, ["check", str(files[0])]).exit_code == 0
 
 
 @pytest.mark.parametrize("line", ["FLEET", "FLEET x", "FLEET members a", "FLEET forget", "FLEET events"])
-def test_calls_of_the_fleet_that_are_none(line: str) -> None:
+def test_malformed_fleet_calls_are_rejected(line: str) -> None:
     with pytest.raises(codec.BadCall, match="FLEET takes"):
         codec.read_call(line.encode())
 
 
-def test_the_platform_answers_no_call_of_the_view() -> None:
-    """That it imports none of it, `test_cli` shows."""
+def test_fleet_calls_without_a_fleet_table_are_refused() -> None:
+    """`test_cli` shows that it does not import the fleet package."""
 
     async def scenario(at: Platform) -> None:
         assert await at.call(b"FLEET members") == b"ERR no [fleet] in the file\n"
@@ -582,7 +582,7 @@
     play(Platform().run, scenario)
 
 
-def test_the_model_checker_finds_each_flawed_form_and_nothing_in_the_machine() -> None:
+def test_the_model_checker_finds_each_flawed_variant_and_no_fault_in_the_machine() -> None:
     assert check_fleet.explore(Fleet, 400)["broken"] == ""
     for kind in (check_fleet.Stubborn, check_fleet.Gullible, check_fleet.Hasty):
         assert check_fleet.explore(kind, 1500)["broken"], kind
