--- a/benchmarks/distribution/hollow.py
+++ b/benchmarks/distribution/hollow.py
@@ -53,7 +53,7 @@
 DIES_WITHIN = 0.3  # s from agreed
 BURST_EVERY = 1.0  # s: sixty changes a minute
 COST_SECONDS = 20.0
-IN_FORCE = re.compile(rb"configuration: (?:version (\d+) is in force|started on version (\d+) of the disk)")
+IN_FORCE = re.compile(rb"configuration: (?:version (\d+) is in force|started on version (\d+) from disk)")
 
 
 def small_body(changes: int) -> bytes:
