--- a/oxbowarch/brain.py
+++ b/oxbowarch/brain.py
@@ -20,7 +20,7 @@
 from oxbowarch.shunning import MAX_FAILURES, after_failure, after_rejections
 from oxbowarch.slow_start import capacity, sender_rate, warmth
 
-HALF_LIFE = 10.0  # seconds, of the request counts
+HALF_LIFE = 10.0  # seconds; EARRRL's value: counts outlast a burst, and a past excess is soon forgiven
 DECAY = log(2) / HALF_LIFE
 NAMES_KEPT = 4096  # tenants or keys with a count; the least recently used are dropped, as they need no limit
 NOISE_MARGIN = 1.0  # standard errors subtracted from a tenant's count before it may cause a refusal
@@ -37,7 +37,7 @@
 FAILURE_STATUSES = (Status.ERROR, Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED)
 WATCH_BACKOFF = 0.5  # seconds, first wait after a failed list call; doubled up to max_list_retry
 ZONE_SLACK, LOAD_MOST = 0.1, 3.0  # excess load at which the own zone loses its preference; cap on a load
-HOLD_STEP, HOLD_MORE = 0.05, 0.7  # seconds between tries of a queued job; part of its run time it may wait
+HOLD_STEP, HOLD_MORE = 0.05, 0.7  # seconds between tries of a queued job; part of its class's grace it waits
 COPY_STEP = 0.2  # seconds between checks whether a job needs a hedged request
 COPY_SHARE, COPY_MOST, COPY_WON = 0.02, 6.0, 2.0  # hedge tokens: per job, at most, per faster copy
 ANYWHERE: Places = (None, None)  # the places of an unrestricted class
@@ -182,7 +182,7 @@
             self.under_pressure = not self.under_pressure
             self.actions.append(
                 Log("pressure on: refusing beyond the limits" if self.under_pressure else "pressure off"))
-        # Overload within the limits sheds all tenants alike, the class that earns least by slot time first.
+        # Overload within limits: a queue delays everyone, so all tenants shed, least worth per slot first.
         late = self._is_late_repeat(request)
         best = max(map(self._worth_rate, range(len(self.settings.classes))))
         part = 1.0 - self._worth_rate(request.job_class, late) / best if best else 0.0
--- a/thistleshore/contracts/ledger.py
+++ b/thistleshore/contracts/ledger.py
@@ -41,7 +41,7 @@
 from thistleshore.contracts.sharing import share_max_min, lend
 
 REFRESH_INTERVAL = 0.1  # seconds between two computations of guarantees
-REFRESH_PER_SHARE = 1e-4  # seconds added to the least interval for each share, so that many members cost little CPU
+REFRESH_PER_SHARE = 1e-4  # seconds for each share, where that is more, so that many members cost little CPU
 DEMAND_DECAY = log(2) / 2.0  # 1/s; half-life of 2 s
 RUN_WEIGHT = 0.1  # weight of the latest job in the moving average of run times
 SLOW_DEMAND_DECAY = log(2) / 8.0  # 1/s; for the demand sent to other instances, so that leases do not follow noise
